--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineProbes.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineProbes.ts
@@ -6,12 +6,12 @@
   EngineReport,
   ForwardingTarget,
   ForwardingWire,
-  KeptParts,
+  CachedPromptParts,
 } from '@sequoiarill/types';
 
 import * as Checks from '../answers/answerChecks';
 import type { EngineCaller } from './engineCalls';
-import type { TargetBook } from './targetBook';
+import type { TargetRegistry } from './targetRegistry';
 
 export interface EngineProbes {
   /** Undefined when the engine does not answer in time. Several askers share one call. */
@@ -20,16 +20,19 @@
     limitMs: number,
   ) => Promise<EngineReport | undefined>;
   /** Parts of prompts that the engine keeps; undefined when it does not tell in time. */
-  readonly readKept: (target: ForwardingTarget, limitMs: number) => Promise<KeptParts | undefined>;
+  readonly readCachedParts: (
+    target: ForwardingTarget,
+    limitMs: number,
+  ) => Promise<CachedPromptParts | undefined>;
   readonly removeMissing: (isCurrent: (target: ForwardingTarget) => boolean) => void;
 }
 
 export interface EngineProbesOptions {
   readonly wire: ForwardingWire;
   readonly clock: Pick<Clock, 'getNowMs' | 'getRunningMs'>;
-  readonly book: TargetBook;
+  readonly registry: TargetRegistry;
   readonly callEngine: EngineCaller;
-  readonly directory: Pick<Directory, 'getConfiguration' | 'hasNews' | 'recordReplacement'>;
+  readonly directory: Pick<Directory, 'getConfiguration' | 'isUpToDate' | 'recordReplacement'>;
 }
 
 /** An engine that has not answered by then counts as lost, milliseconds; most answer within five. */
@@ -47,7 +50,7 @@
 }
 
 export function createEngineProbes(options: EngineProbesOptions): EngineProbes {
-  const { wire, clock, book, callEngine, directory } = options;
+  const { wire, clock, registry, callEngine, directory } = options;
   const inProgress = new Map<string, Promise<EngineReport | undefined>>();
   const freshByTarget = new Map<string, Fresh>();
 
@@ -56,9 +59,9 @@
   }
 
   function isDoubtful(target: ForwardingTarget): boolean {
-    if (book.isUnproved(target)) return true;
-    if (directory.hasNews()) return false;
-    const provedAtMs = book.getProvedAtMs(target);
+    if (registry.isUnproved(target)) return true;
+    if (directory.isUpToDate()) return false;
+    const provedAtMs = registry.getProvedAtMs(target);
     return provedAtMs === undefined || clock.getNowMs() - provedAtMs > PROOF_LIFE_MS;
   }
 
@@ -79,8 +82,8 @@
   async function findLife(target: ForwardingTarget): Promise<string | undefined> {
     if (!isDoubtful(target)) return target.id;
     const id = await readIdentity(target);
-    if (id === target.id) book.recordProof(target);
-    else if (id !== undefined) book.recordReplaced(target);
+    if (id === target.id) registry.recordProof(target);
+    else if (id !== undefined) registry.recordReplaced(target);
     return id;
   }
 
@@ -89,7 +92,7 @@
    * only if it reports like an engine and one service alone has engines.
    */
   function reportReplacement(target: ForwardingTarget, id: string): void {
-    if (directory.hasNews()) return;
+    if (directory.isUpToDate()) return;
     const services = [...(directory.getConfiguration()?.services.values() ?? [])];
     if (services.filter(({ engine }) => engine !== undefined).length !== 1) return;
     directory.recordReplacement(target, id);
@@ -97,7 +100,7 @@
 
   async function readOnce(target: ForwardingTarget): Promise<EngineReport | undefined> {
     const [answer, id] = await Promise.all([readPath(target, wire.reportPath), findLife(target)]);
-    if (answer === undefined) book.recordLoss(target);
+    if (answer === undefined) registry.recordLoss(target);
     const report = answer?.head.status === OK ? wire.decodeReport(answer.text) : undefined;
     if (id === target.id) return report;
     const isUsable = report !== undefined && !report.isLeaving;
@@ -112,8 +115,8 @@
       freshByTarget.delete(target.id);
       return undefined;
     }
-    book.recordReport(target, report);
-    book.recordSign(target);
+    registry.recordReport(target, report);
+    registry.recordSign(target);
     freshByTarget.set(target.id, { target, report, atMs: clock.getNowMs() });
     return report;
   }
@@ -139,9 +142,9 @@
       stopTimer?.();
       return report;
     },
-    async readKept(target, limitMs) {
-      const answer = await readPath(target, wire.keptPath, limitMs);
-      return answer?.head.status === OK ? wire.decodeKept(answer.text) : undefined;
+    async readCachedParts(target, limitMs) {
+      const answer = await readPath(target, wire.cachedPartsPath, limitMs);
+      return answer?.head.status === OK ? wire.decodeCachedParts(answer.text) : undefined;
     },
     removeMissing(isCurrent) {
       for (const [id, { target }] of freshByTarget) {
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetBook.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
@@ -5,7 +5,7 @@
 
 import * as Registers from '../register';
 
-export interface TargetBook {
+export interface TargetRegistry {
   /** A request was placed there and will be sent in a moment, unless it is given up. */
   readonly recordPlacement: (target: ForwardingTarget) => void;
   /** Gives what is to be called, once, when the request has ended there. */
@@ -54,10 +54,10 @@
  */
 const REPORT_LAG_MS = 300;
 
-export function createTargetBook(getNowMs: () => number): TargetBook {
+export function createTargetRegistry(getNowMs: () => number): TargetRegistry {
   const entries = new Map<string, Entry>();
   const getDetector = Registers.createRegister(() => Decisions.createOutlierDetector());
-  const suspicion = Decisions.createLossSuspicion();
+  const suspicion = Decisions.createSuspectTracker();
 
   function getEntry(target: ForwardingTarget): Entry {
     const known = entries.get(target.id);
@@ -116,11 +116,11 @@
     },
     recordSuccess(target) {
       getDetector(target.service).recordSuccess(target.id, getNowMs());
-      suspicion.recordSign(target, getNowMs());
-      suspicion.recordProof(target, getNowMs());
+      suspicion.recordAlive(target, getNowMs());
+      suspicion.recordVerified(target, getNowMs());
     },
     recordSign(target) {
-      suspicion.recordSign(target, getNowMs());
+      suspicion.recordAlive(target, getNowMs());
     },
     recordFailure(target) {
       getDetector(target.service).recordFailure(target.id, getNowMs());
@@ -130,12 +130,12 @@
       suspicion.recordLoss(target, getNowMs());
     },
     recordReplaced(target) {
-      suspicion.recordGone(target, getNowMs());
+      suspicion.recordRemoval(target, getNowMs());
     },
-    isUnproved: suspicion.isUnproved,
-    getProvedAtMs: suspicion.getProvedAtMs,
+    isUnproved: suspicion.isUnverified,
+    getProvedAtMs: suspicion.getVerifiedAtMs,
     recordProof(target) {
-      suspicion.recordProof(target, getNowMs());
+      suspicion.recordVerified(target, getNowMs());
     },
     recordReport(target, report) {
       const entry = getEntry(target);
--- a/packages/sequoiarill-plugin-generations/src/admissionGate.ts
+++ b/packages/sequoiarill-plugin-generations/src/admissionGate.ts
@@ -28,7 +28,7 @@
   /** Tells what the engines of a model can take now; see `ConcurrencyLimit.setCapacity`. */
   readonly setCapacity: (model: string, slots: number, busyShare: number) => void;
   readonly close: () => void;
-  readonly dumpLanes: () => ReturnType<Admission['listLanes']>;
+  readonly dumpLanes: () => ReturnType<Admission['listModelQueues']>;
 }
 
 export interface AdmissionGateOptions {
@@ -115,6 +115,6 @@
       if (waiting.size > 0) runTickets();
     },
     close: () => clearTimeout(timer),
-    dumpLanes: () => admission.listLanes(),
+    dumpLanes: () => admission.listModelQueues(),
   };
 }
--- a/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
@@ -3,7 +3,7 @@
 
 import type {
   ConfigurationExchange,
-  ConfigurationNews,
+  ConfigurationAnnouncement,
   ConfigurationSection,
 } from '@sequoiarill/types';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -38,7 +38,7 @@
 /** A document that never goes back, as the platform plug-in keeps it. */
 export function createFakeConfiguration(): FakeConfiguration {
   const sections = new Map<string, ConfigurationSection>();
-  let news: ConfigurationNews = { readerFence: 0, readerBeat: 0, revision: 0 };
+  let news: ConfigurationAnnouncement = { readerFence: 0, readerBeat: 0, revision: 0 };
 
   function mergeSection(section: ConfigurationSection): void {
     const known = sections.get(section.name);
--- a/packages/sequoiarill-plugin-membership/src/configurationPull.ts
+++ b/packages/sequoiarill-plugin-membership/src/configurationPull.ts
@@ -1,7 +1,7 @@
 /** How routers bring each other the operators' document. */
 import type {
   ConfigurationExchange,
-  ConfigurationNews,
+  ConfigurationAnnouncement,
   ConfigurationSection,
 } from '@sequoiarill/types';
 
@@ -18,11 +18,14 @@
 /** A peer that showed news in an exchange. */
 export interface NewsSource {
   readonly address: string;
-  readonly news: ConfigurationNews;
+  readonly news: ConfigurationAnnouncement;
   readonly isZoneMate: boolean;
 }
 
-export function compareNews(left: ConfigurationNews, right: ConfigurationNews): number {
+export function compareNews(
+  left: ConfigurationAnnouncement,
+  right: ConfigurationAnnouncement,
+): number {
   return (
     left.readerFence - right.readerFence ||
     left.readerBeat - right.readerBeat ||
@@ -57,10 +60,10 @@
  * look old, and the zone would call the platform over and over. Across zones only sections count.
  */
 export function selectNews(
-  own: ConfigurationNews,
-  peer: ConfigurationNews,
+  own: ConfigurationAnnouncement,
+  peer: ConfigurationAnnouncement,
   isZoneMate: boolean,
-): ConfigurationNews {
+): ConfigurationAnnouncement {
   return isZoneMate ? peer : { ...own, revision: Math.max(own.revision, peer.revision) };
 }
 
--- a/packages/sequoiarill-plugin-membership/src/messages.ts
+++ b/packages/sequoiarill-plugin-membership/src/messages.ts
@@ -1,5 +1,5 @@
 /** Messages between routers: schemas that both sides check, and their types. */
-import type { ConfigurationNews, ConfigurationSection } from '@sequoiarill/types';
+import type { ConfigurationAnnouncement, ConfigurationSection } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
 import type { PeerRecord } from './peerRecord';
@@ -23,7 +23,7 @@
   state: Zod.enum(['alive', 'leaving', 'dead']),
 });
 
-const newsSchema: Zod.ZodType<ConfigurationNews> = Zod.strictObject({
+const newsSchema: Zod.ZodType<ConfigurationAnnouncement> = Zod.strictObject({
   readerFence: counterSchema,
   readerBeat: counterSchema,
   revision: counterSchema,
--- a/packages/sequoiarill-plugin-platform/src/configurationNews.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationNews.ts
@@ -1,8 +1,11 @@
 /** Which of two routers knows the fresher configuration, without comparing any clocks. */
-import type { Clock, ConfigurationNews } from '@sequoiarill/types';
+import type { Clock, ConfigurationAnnouncement } from '@sequoiarill/types';
 
 /** Positive when the left one is fresher: the later reader first, then its later confirmation. */
-export function compareNews(left: ConfigurationNews, right: ConfigurationNews): number {
+export function compareNews(
+  left: ConfigurationAnnouncement,
+  right: ConfigurationAnnouncement,
+): number {
   return (
     left.readerFence - right.readerFence ||
     left.readerBeat - right.readerBeat ||
@@ -11,11 +14,11 @@
 }
 
 export interface NewsKeeper {
-  readonly getNews: () => ConfigurationNews;
+  readonly getNews: () => ConfigurationAnnouncement;
   /** Since a reader was last known to have confirmed the configuration; infinite before that. */
   readonly getAgeMs: () => number;
   /** Takes in news of a peer; older ones change nothing. */
-  readonly mergeNews: (news: ConfigurationNews) => void;
+  readonly mergeNews: (news: ConfigurationAnnouncement) => void;
   /** This process confirmed by itself that it knows every change up to the revision. */
   readonly confirmNews: (fence: number, revision: number) => void;
   /** Knows every change up to the revision, without being the reader. */
@@ -23,7 +26,7 @@
 }
 
 export function createNewsKeeper(clock: Clock, staleMs: number): NewsKeeper {
-  let news: ConfigurationNews = { readerFence: 0, readerBeat: 0, revision: 0 };
+  let news: ConfigurationAnnouncement = { readerFence: 0, readerBeat: 0, revision: 0 };
   let raisedMs = Number.NEGATIVE_INFINITY;
 
   function getAgeMs(): number {
--- a/packages/sequoiarill-plugin-rollouts/src/answerTallies.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/answerTallies.ts
@@ -1,11 +1,14 @@
 /** What this router saw of both versions since an order. */
 import * as Decisions from '@sequoiarill/decisions';
-import type { VersionEnd, VersionSend, VersionTally } from '@sequoiarill/types';
+import type { VersionAttemptResult, VersionAttempt, VersionCounts } from '@sequoiarill/types';
 
 export interface AnswerTallies {
   /** `isFresh`: to the version that the service is to move to. Gives what is to be called at the end. */
-  readonly recordSend: (send: VersionSend, isFresh: boolean) => (end: VersionEnd) => void;
-  readonly list: () => readonly VersionTally[];
+  readonly recordSend: (
+    send: VersionAttempt,
+    isFresh: boolean,
+  ) => (end: VersionAttemptResult) => void;
+  readonly list: () => readonly VersionCounts[];
 }
 
 interface Waiting {
@@ -28,7 +31,7 @@
 export function createAnswerTallies(getNowMs: () => number): AnswerTallies {
   const tallies = new Map<string, Tally>();
 
-  function getTally({ route, target }: VersionSend, isFresh: boolean): Tally {
+  function getTally({ route, target }: VersionAttempt, isFresh: boolean): Tally {
     const key = JSON.stringify(isFresh ? [route, target.id] : [route]);
     const known = tallies.get(key);
     if (known !== undefined) return known;
--- a/packages/sequoiarill-plugin-rollouts/src/play/playRollout.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/playRollout.ts
@@ -1,7 +1,7 @@
 /** Plays one roll-out over several routers in virtual time. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { DecideRolloutStep } from '@sequoiarill/decisions';
-import * as Play from '@sequoiarill/decisions/lib/play';
+import * as Play from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
 import type { RolloutCase, RolloutResult } from './playedCase';
--- a/packages/sequoiarill-plugin-rollouts/src/play/playedFaults.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/playedFaults.ts
@@ -1,6 +1,6 @@
 /** Brings about the faults of a played roll-out. */
 import * as Decisions from '@sequoiarill/decisions';
-import type { NextRandom } from '@sequoiarill/decisions/lib/play';
+import type { NextRandom } from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
 import type { PlayedFault, RolloutCase } from './playedCase';
--- a/packages/sequoiarill-plugin-rollouts/src/play/playedTraffic.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/playedTraffic.ts
@@ -1,6 +1,6 @@
 /** Requests of a played roll-out, and how targets of both versions answer them. */
-import type { NextRandom } from '@sequoiarill/decisions/lib/play';
-import type { ForwardingTarget, VersionEnd } from '@sequoiarill/types';
+import type { NextRandom } from '@sequoiarill/decisions/lib/simulation';
+import type { ForwardingTarget, VersionAttemptResult } from '@sequoiarill/types';
 
 import type { RolloutCase } from './playedCase';
 import type { PlayedFleet, PlayedRouter } from './playedFleet';
@@ -28,7 +28,7 @@
   readonly startMs: number;
   readonly endMs: number;
   readonly isFailure: boolean;
-  readonly recordEnd: (end: VersionEnd) => void;
+  readonly recordEnd: (end: VersionAttemptResult) => void;
 }
 
 export interface PlayedTraffic {
--- a/packages/sequoiarill-plugin-rollouts/src/play/world.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/world.ts
@@ -66,7 +66,7 @@
 }
 
 function createConfiguration(canHandOver: boolean): ForwardingConfiguration {
-  const engine = { memoryTokens: 1, hasBackups: true, tokensPerEvent: 1, copyLifetimeMs: 4_000 };
+  const engine = { kvCacheTokens: 1, hasBackups: true, tokensPerEvent: 1, copyLifetimeMs: 4_000 };
   const service = { name: SERVICE, maxConnections: 1, healthPath: '/' };
   return {
     version: 1,
@@ -76,7 +76,7 @@
   };
 }
 
-interface DirectoryOptions extends Pick<Directory, 'hasNews' | 'recordEntry'> {
+interface DirectoryOptions extends Pick<Directory, 'isUpToDate' | 'recordEntry'> {
   readonly routers: number;
   readonly configuration: ForwardingConfiguration;
   readonly entries: ReadonlyMap<string, StoredEntry>;
@@ -90,7 +90,7 @@
     getConfiguration: () => configuration,
     listTargets,
     findCurrent: (target) => listTargets().find(({ id }) => id === target.id),
-    hasNews: options.hasNews,
+    isUpToDate: options.isUpToDate,
     recordReplacement: () => undefined,
     countRouters: () => routers,
     subscribe(listener) {
@@ -106,8 +106,8 @@
 const UNUSED_CALLS: Omit<RouterPeers, 'self' | 'listRouters' | 'sendReport' | 'setReportHandler'> =
   {
     listNearest: () => [],
-    borrowRepeats: async () => ({ kind: 'lent', repeats: 0 }),
-    setLender: () => undefined,
+    borrowRetryQuota: async () => ({ kind: 'lent', repeats: 0 }),
+    setRetryQuotaLender: () => undefined,
     reportCrashes: async () => ({ kind: 'counted' }),
     reportAnswers: async () => ({ kind: 'counted' }),
     exchangeBlocks: async () => ({ kind: 'blocks', blocks: [] }),
@@ -213,7 +213,7 @@
         entries: known.get(name) ?? new Map<string, StoredEntry>(),
         listeners: listeners.get(name) ?? new Set(),
         listTargets: () => targets,
-        hasNews: () => hasStore(node),
+        isUpToDate: () => hasStore(node),
         recordEntry: (entry) => applyEntry(name, entry),
       }),
       peers: {
--- a/packages/sequoiarill-plugin-rollouts/src/plugin.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/plugin.ts
@@ -69,7 +69,7 @@
     if (memory?.isHalted === true && split.phase !== 'completed') {
       return { ...split, phase: 'rolledBack' };
     }
-    const share = directory.hasNews() ? split.share : 0;
+    const share = directory.isUpToDate() ? split.share : 0;
     return { ...split, share, avoided: memory?.avoided ?? split.avoided };
   }
 
--- a/packages/sequoiarill-types/src/configuration.ts
+++ b/packages/sequoiarill-types/src/configuration.ts
@@ -115,7 +115,7 @@
 }
 
 /** How fresh a router's configuration is; compared field by field in this order, only rising. */
-export interface ConfigurationNews {
+export interface ConfigurationAnnouncement {
   /** Fencing number of the zone's reader; 0 while no reader was heard of. */
   readonly readerFence: number;
   /** Rises with each confirmed read of that reader. */
@@ -126,12 +126,12 @@
 
 /** Capability `configurationExchange`: lets routers learn the document from each other. */
 export interface ConfigurationExchange {
-  readonly getNews: () => ConfigurationNews;
+  readonly getNews: () => ConfigurationAnnouncement;
   /** Sections whose revision is above the given one. */
   readonly listSectionsAfter: (revision: number) => readonly ConfigurationSection[];
   /** Takes in what a peer has; older revisions of a section never replace newer ones. */
   readonly mergeSections: (
-    news: ConfigurationNews,
+    news: ConfigurationAnnouncement,
     sections: readonly ConfigurationSection[],
   ) => void;
 }
--- a/packages/sequoiarill-types/src/forwarding.ts
+++ b/packages/sequoiarill-types/src/forwarding.ts
@@ -2,7 +2,7 @@
 import type { DecodedRolloutOrder, RolloutStatus } from './rollouts';
 
 /** What may be sent a second time after a failure. */
-export type RepeatRule =
+export type RetryPolicy =
   /** May run any number of times. */
   | 'idempotent'
   /** May run once at most for each request of a caller. */
@@ -16,7 +16,7 @@
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  readonly repeat: RepeatRule;
+  readonly retryPolicy: RetryPolicy;
   /** The answer is a series of server-sent events. */
   readonly isStream: boolean;
   /** Runs on model engines, which hold the prompt in memory. */
@@ -45,7 +45,7 @@
 /** What the model engines of a service can do. */
 export interface EngineTraits {
   /** Tokens that running requests, copies and cached prompts share. */
-  readonly memoryTokens: number;
+  readonly kvCacheTokens: number;
   /** Whether a run's memory can be copied to another engine while it grows. */
   readonly hasBackups: boolean;
   /** Tokens in one event of a stream. */
@@ -133,14 +133,14 @@
 }
 
 /** Tokens that an engine keeps in memory of each part of a prompt, by the part's id. */
-export type KeptParts = ReadonlyMap<string, number>;
+export type CachedPromptParts = ReadonlyMap<string, number>;
 
 /** A run goes on meanwhile; the copy has what it held when the copy was made. */
-export interface CopyOrder {
+export interface CopyCommand {
   /** Request id of the run. */
   readonly runId: string;
   /** `IP:port` of the engine that is to keep the copy. */
-  readonly keeper: string;
+  readonly holder: string;
 }
 
 export type DecodedConfiguration =
@@ -202,11 +202,11 @@
   /** Parts in the order in which they are prefilled; none where the text cannot be read. */
   readonly decodePromptParts: (text: string) => readonly PromptPart[];
   /** Path at an engine that lists the parts of prompts that it keeps. */
-  readonly keptPath: string;
-  readonly decodeKept: (text: string) => KeptParts | undefined;
+  readonly cachedPartsPath: string;
+  readonly decodeCachedParts: (text: string) => CachedPromptParts | undefined;
   /** Path at the engine of a run, where a copy of the run's memory at another engine is ordered. */
   readonly copyPath: string;
-  readonly encodeCopyOrder: (order: CopyOrder) => string;
+  readonly encodeCopyCommand: (order: CopyCommand) => string;
   /** Handle under which the copy is known at the engine of the run. */
   readonly decodeCopyHandle: (text: string) => string | undefined;
   /** Path at the engine of the run; deleting it frees the copy at both engines. */
@@ -231,7 +231,7 @@
    * Whether the store tells what lives. While it does not, targets may have ended or begun another
    * life unseen.
    */
-  readonly hasNews: () => boolean;
+  readonly isUpToDate: () => boolean;
   /** Another life was met at a target's address while the store could not tell of it. */
   readonly recordReplacement: (replaced: ForwardingTarget, id: string) => void;
   /** Routers that are known to live, this one too; at least 1. */
--- a/packages/sequoiarill-types/src/peers.ts
+++ b/packages/sequoiarill-types/src/peers.ts
@@ -1,19 +1,19 @@
 /** What routers ask of each other beside the directory. */
 
 /** A part of the repeats of a service that one router asks of another. */
-export interface RepeatsLoan {
+export interface RetryQuotaRequest {
   readonly service: string;
   /** Parts of a repeat count too. */
   readonly repeats: number;
 }
 
-export type LoanOutcome =
+export type RetryQuotaOutcome =
   | { readonly kind: 'lent'; readonly repeats: number }
   /** The peer did not answer in time. */
   | { readonly kind: 'failed'; readonly reason: string };
 
 /** Answers of one route that targets of one version gave to one router, since the order. */
-export interface VersionTally {
+export interface VersionCounts {
   readonly route: string;
   /** Absent: all targets of the version that is to be replaced. */
   readonly target?: string;
@@ -35,7 +35,7 @@
   readonly elapsedMs: number;
   /** Requests in progress here at targets that get no new work. */
   readonly leaving: number;
-  readonly tallies: readonly VersionTally[];
+  readonly tallies: readonly VersionCounts[];
 }
 
 /** What the router that decides a roll-out tells the one that reports. */
@@ -89,53 +89,53 @@
   readonly handleBlocks: (blocks: readonly ContentBlock[]) => readonly ContentBlock[];
 }
 
-export interface RouterPlace {
+export interface RouterLocation {
   /** `IP:port`, as its peers know it. */
   readonly address: string;
   readonly zone: string;
 }
 
-export interface LimitedTarget {
+export interface RateLimitedTarget {
   /** One life of a target. */
   readonly life: string;
   readonly zone: string;
 }
 
 /** What a target was last heard to name. */
-export interface KnownLimit {
+export interface ObservedLimit {
   /** Requests a second over all routers; absent where it names none any more. */
   readonly perSecond?: number;
   readonly ageMs: number;
 }
 
 /** A router that does not send to a target by itself asks one that does. */
-export interface PermitsQuestion extends LimitedTarget {
+export interface PermitsRequest extends RateLimitedTarget {
   /** Requests that it wants to send now; 0 where it only asks for the limit. */
   readonly wanted: number;
-  readonly known: KnownLimit;
+  readonly known: ObservedLimit;
 }
 
-export interface LentPermits {
+export interface GrantedPermits {
   readonly permits: number;
   /** Absent where the router that answers knows nothing of the target. */
-  readonly known?: KnownLimit;
+  readonly known?: ObservedLimit;
 }
 
 export type PermitsOutcome =
-  | { readonly kind: 'lent'; readonly lent: LentPermits }
+  | { readonly kind: 'lent'; readonly lent: GrantedPermits }
   | { readonly kind: 'failed'; readonly reason: string };
 
 /** Capability `peers`: the other routers, as the directory knows them. */
 export interface RouterPeers {
   /** `IP:port` of other routers, those of this router's zone first and otherwise in random order. */
   readonly listNearest: () => readonly string[];
-  readonly borrowRepeats: (peer: string, loan: RepeatsLoan) => Promise<LoanOutcome>;
+  readonly borrowRetryQuota: (peer: string, loan: RetryQuotaRequest) => Promise<RetryQuotaOutcome>;
   /** Who decides what this router lends to others; until it is told, nothing is lent. */
-  readonly setLender: (lendRepeats: (loan: RepeatsLoan) => number) => void;
+  readonly setRetryQuotaLender: (lendRepeats: (loan: RetryQuotaRequest) => number) => void;
   /** `IP:port` of this router. */
   readonly self: string;
   /** All routers that are known, this one too. */
-  readonly listRouters: () => readonly RouterPlace[];
+  readonly listRouters: () => readonly RouterLocation[];
   readonly sendReport: (peer: string, report: RolloutReport) => Promise<GuidanceOutcome>;
   /** To a router that counts crashes of their contents over all routers. */
   readonly reportCrashes: (peer: string, crashes: readonly Crash[]) => Promise<CrashesOutcome>;
@@ -149,8 +149,8 @@
     blocks: readonly ContentBlock[],
   ) => Promise<BlocksOutcome>;
   readonly setCrashHandlers: (handlers: CrashHandlers) => void;
-  readonly borrowPermits: (peer: string, question: PermitsQuestion) => Promise<PermitsOutcome>;
-  readonly setPermitsLender: (lendPermits: (question: PermitsQuestion) => LentPermits) => void;
+  readonly borrowPermits: (peer: string, question: PermitsRequest) => Promise<PermitsOutcome>;
+  readonly setPermitsLender: (lendPermits: (question: PermitsRequest) => GrantedPermits) => void;
   /** Who takes in reports of other routers. */
   readonly setReportHandler: (handleReport: (report: RolloutReport) => RolloutGuidance) => void;
 }
--- a/packages/sequoiarill-types/src/rollouts.ts
+++ b/packages/sequoiarill-types/src/rollouts.ts
@@ -33,7 +33,7 @@
   | 'rolledBack';
 
 /** A request that a target was sent, for the comparison of versions. */
-export interface VersionSend {
+export interface VersionAttempt {
   readonly target: ForwardingTarget;
   readonly route: string;
   /** Within which the answer is on time, milliseconds. */
@@ -44,7 +44,7 @@
  * `answered`: the whole answer, of a stream its first event. `failed`: an answer of the target that says so.
  * `unknown`: none of its own; connections that broke are no evidence against a version.
  */
-export type VersionEnd = 'answered' | 'failed' | 'unknown';
+export type VersionAttemptResult = 'answered' | 'failed' | 'unknown';
 
 /** Capability `rollouts`: which versions requests may go to. */
 export interface Rollouts {
@@ -56,7 +56,7 @@
   /** New work no longer goes to the target's version, and streams there are to go on elsewhere. */
   readonly isLeaving: (target: ForwardingTarget) => boolean;
   /** Gives what is to be called with the end; calls after the first one change nothing. */
-  readonly recordSend: (send: VersionSend) => (end: VersionEnd) => void;
+  readonly recordSend: (send: VersionAttempt) => (end: VersionAttemptResult) => void;
   /** Who tells how many requests of this router a target works on. */
   readonly setInFlightReader: (getInFlight: (target: ForwardingTarget) => number) => void;
 }
