--- a/packages/sequoiarill-decisions/src/queueAdmission.ts
+++ b/packages/sequoiarill-decisions/src/queueAdmission.ts
@@ -58,7 +58,7 @@
     return { kind: 'refuse', waitMs, message };
   }
   if (modelQueue.queue.getLength() < bounds.maxQueueLength)
-    return { kind: 'accept', waitMs, acceptedMs };
+    {return { kind: 'accept', waitMs, acceptedMs };}
   const victim = modelQueue.queue.findHeaviestLast();
   if (victim === undefined || victim.organisation === organisation.name) {
     const message = `overloaded: ${bounds.maxQueueLength} requests wait for model ${model}`;
