--- a/packages/sequoiarill-decisions/src/queueAdmission.ts
+++ b/packages/sequoiarill-decisions/src/queueAdmission.ts
@@ -57,8 +57,9 @@
       `is above ${Math.round(acceptedMs)} ms`;
     return { kind: 'refuse', waitMs, message };
   }
-  if (modelQueue.queue.getLength() < bounds.maxQueueLength)
-    {return { kind: 'accept', waitMs, acceptedMs };}
+  if (modelQueue.queue.getLength() < bounds.maxQueueLength) {
+    return { kind: 'accept', waitMs, acceptedMs };
+  }
   const victim = modelQueue.queue.findHeaviestLast();
   if (victim === undefined || victim.organisation === organisation.name) {
     const message = `overloaded: ${bounds.maxQueueLength} requests wait for model ${model}`;
