--- a/packages/sequoiarill-plugin-directory/src/__tests__/peerServer.test.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/peerServer.test.ts
@@ -72,7 +72,7 @@
       { service: 'engines', repeats: 5 },
       (loan) => loan.repeats,
     );
-    expect(outcome).toEqual({ kind: 'lent', repeats: 3 });
+    expect(outcome).toEqual({ kind: 'granted', repeats: 3 });
   });
 
   it('lends nobody more than one stream can need', async () => {
--- a/packages/sequoiarill-plugin-directory/src/peerClient.ts
+++ b/packages/sequoiarill-plugin-directory/src/peerClient.ts
@@ -1,12 +1,12 @@
 /** Reads the directory of other routers and borrows repeats of them, over tRPC. */
 import * as Kernel from '@sequoiarill/kernel';
 import type {
-  BlocksOutcome,
+  BlockExchangeOutcome,
   Clock,
   ContentAnswer,
   ContentBlock,
   Crash,
-  CrashesOutcome,
+  CrashReportOutcome,
   GuidanceOutcome,
   HeaderNames,
   RetryQuotaOutcome,
@@ -31,15 +31,18 @@
   ) => Promise<PeerAnswer>;
   readonly borrowRepeats: (address: string, loan: RetryQuotaRequest) => Promise<RetryQuotaOutcome>;
   readonly sendReport: (address: string, report: RolloutReport) => Promise<GuidanceOutcome>;
-  readonly reportCrashes: (address: string, crashes: readonly Crash[]) => Promise<CrashesOutcome>;
+  readonly reportCrashes: (
+    address: string,
+    crashes: readonly Crash[],
+  ) => Promise<CrashReportOutcome>;
   readonly reportAnswers: (
     address: string,
     answers: readonly ContentAnswer[],
-  ) => Promise<CrashesOutcome>;
+  ) => Promise<CrashReportOutcome>;
   readonly exchangeBlocks: (
     address: string,
     blocks: readonly ContentBlock[],
-  ) => Promise<BlocksOutcome>;
+  ) => Promise<BlockExchangeOutcome>;
   readonly borrowPermits: (address: string, question: PermitsRequest) => Promise<PermitsOutcome>;
   readonly close: () => Promise<void>;
 }
@@ -108,7 +111,7 @@
         const repeats = Math.min(loan.repeats, Messages.MAX_LOAN);
         const caller = createCaller(address, loanTimeoutMs);
         const answer = await caller.lendRepeats.mutate({ ...loan, repeats });
-        return { kind: 'lent', repeats: Messages.loanAnswerSchema.parse(answer).repeats };
+        return { kind: 'granted', repeats: Messages.loanAnswerSchema.parse(answer).repeats };
       }),
     sendReport: (address, report) =>
       runCall(async () => {
@@ -119,7 +122,7 @@
     borrowPermits: (address, question) =>
       runCall(async () => {
         const answer = await createCaller(address, loanTimeoutMs).lendPermits.mutate(question);
-        return { kind: 'lent', lent: Messages.decodeLentPermits(answer) };
+        return { kind: 'granted', granted: Messages.decodeLentPermits(answer) };
       }),
     reportCrashes: (address, crashes) =>
       runCall(async () => {
--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
@@ -239,13 +239,13 @@
       async borrowRetryQuota(peer, { repeats }) {
         const lent = Math.min(repeats, lenders.get(peer) ?? 0);
         lenders.set(peer, (lenders.get(peer) ?? 0) - lent);
-        return { kind: 'lent', repeats: lent };
+        return { kind: 'granted', repeats: lent };
       },
     },
     rollouts: {
       selectTargets: (all) => all,
       isLeaving: () => false,
-      recordSend: () => () => undefined,
+      recordAttempt: () => () => undefined,
     },
     registry,
     crashes: {
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/crashAggregators.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/crashAggregators.ts
@@ -1,9 +1,9 @@
 /** Which routers count for a content, and how they are told. */
 import * as Decisions from '@sequoiarill/decisions';
-import type { Clock, CrashesOutcome, RouterPeers } from '@sequoiarill/types';
+import type { Clock, CrashReportOutcome, RouterPeers } from '@sequoiarill/types';
 
 /** Tells one router what was seen so long ago, milliseconds. */
-export type SendReport = (router: string, ageMs: number) => Promise<CrashesOutcome>;
+export type SendReport = (router: string, ageMs: number) => Promise<CrashReportOutcome>;
 
 export interface CrashAggregators {
   /** Whether this router ranks among those that count for the content. */
--- a/packages/sequoiarill-plugin-forwarding/src/dependencies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/dependencies.ts
@@ -33,7 +33,7 @@
   readonly wire: ForwardingWire;
   readonly directory: Directory;
   readonly peers: Pick<RouterPeers, 'listNearest' | 'borrowRetryQuota'>;
-  readonly rollouts: Pick<Rollouts, 'selectTargets' | 'isLeaving' | 'recordSend'>;
+  readonly rollouts: Pick<Rollouts, 'selectTargets' | 'isLeaving' | 'recordAttempt'>;
   readonly registry: TargetRegistry;
   readonly crashes: Pick<CrashReports, 'getBlockedMs' | 'recordAnswer' | 'recordBreak'>;
   readonly limits: Pick<TargetLimits, 'recordHead' | 'isOpen' | 'borrowPermit' | 'getRetrySeconds'>;
--- a/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitPlay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitPlay.ts
@@ -84,7 +84,7 @@
           if (!hasLoans || lend === undefined || isCut(address, peer)) {
             return { kind: 'failed', reason: 'cut off' };
           }
-          return { kind: 'lent', lent: lend(question) };
+          return { kind: 'granted', granted: lend(question) };
         },
       },
       ...(options.countSenders === undefined ? {} : { countSenders: options.countSenders }),
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -114,10 +114,10 @@
       log.logEvent(Events.LENDER_SILENT, { peer: sender, target: life, reason: outcome.reason });
       return false;
     }
-    const { lent } = outcome;
-    if (lent.known !== undefined) recordLimit(target, lent.known);
-    limits.recordBorrowed(life, lent.permits, clock.getNowMs());
-    return lent.permits > 0;
+    const { granted } = outcome;
+    if (granted.known !== undefined) recordLimit(target, granted.known);
+    limits.recordBorrowed(life, granted.permits, clock.getNowMs());
+    return granted.permits > 0;
   }
 
   /**
--- a/packages/sequoiarill-plugin-forwarding/src/plugin.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/plugin.ts
@@ -168,7 +168,7 @@
     clientRetries: Decisions.createClientRetryDetector(),
   };
 
-  rollouts.setInFlightReader(registry.getInFlight);
+  rollouts.setInFlightCounter(registry.getInFlight);
   peers.setCrashHandlers(crashes.handlers);
   peers.setPermitsLender(limits.lendPermits);
   peers.setRetryQuotaLender((loan) => RetryQuotas.lendRepeats(dependencies, loan));
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -139,7 +139,7 @@
   let firstEventMs = Number.POSITIVE_INFINITY;
   let head: AnswerHead | undefined;
   const { name: route, objectiveMs } = request.route;
-  const recordVersion = dependencies.rollouts.recordSend({ target, route, objectiveMs });
+  const recordVersion = dependencies.rollouts.recordAttempt({ target, route, objectiveMs });
 
   function readNext(): Promise<CallEvent> {
     const { expiresAtMs } = request;
--- a/packages/sequoiarill-plugin-rollouts/src/play/world.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/world.ts
@@ -106,12 +106,12 @@
 const UNUSED_CALLS: Omit<RouterPeers, 'self' | 'listRouters' | 'sendReport' | 'setReportHandler'> =
   {
     listNearest: () => [],
-    borrowRetryQuota: async () => ({ kind: 'lent', repeats: 0 }),
+    borrowRetryQuota: async () => ({ kind: 'granted', repeats: 0 }),
     setRetryQuotaLender: () => undefined,
     reportCrashes: async () => ({ kind: 'counted' }),
     reportAnswers: async () => ({ kind: 'counted' }),
     exchangeBlocks: async () => ({ kind: 'blocks', blocks: [] }),
-    borrowPermits: async () => ({ kind: 'lent', lent: { permits: 0 } }),
+    borrowPermits: async () => ({ kind: 'granted', granted: { permits: 0 } }),
     setPermitsLender: () => undefined,
     setCrashHandlers: () => undefined,
   };
