--- a/packages/sequoiarill-types/src/configuration.ts
+++ b/packages/sequoiarill-types/src/configuration.ts
@@ -1,32 +1,34 @@
-/** The operators' configuration as a router sees it: one immutable snapshot for each revision. */
+/** The operators' configuration as an immutable snapshot, one for each revision. */
 
-/** What an organisation weighs more after the loss of an engine. */
+/** What an organisation optimises for when a generation continues after an engine was lost. */
 export type ResumePreference = 'resumeLatency' | 'resourceUse';
 
 export interface Model {
   readonly name: string;
-  /** Continuations stay on this version; a change of it is a new model to the engines. */
+  /**
+   * A continued generation stays on this version. To the engines, another version is another model.
+   */
   readonly version: string;
   readonly adapter?: string;
-  /** Prompt and output together, in tokens. */
+  /** Limit for prompt and output together, in tokens. */
   readonly contextTokens: number;
-  /** Used where a request names no limit of its own, in tokens. */
+  /** Output limit of requests that set none, in tokens. */
   readonly maxOutputTokens: number;
 }
 
-/** One API key. The secret part is known only as a salted hash. */
+/** One API key. The secret part is stored only as a salted hash. */
 export interface OrganisationKey {
   readonly id: string;
   /** Hexadecimal. */
   readonly salt: string;
-  /** Hexadecimal SHA-256 of salt and secret. */
+  /** Hexadecimal SHA-256 of the salt and the secret. */
   readonly hash: string;
 }
 
 export interface OrganisationLimits {
-  /** Estimated prompt and output tokens a second over the whole fleet. */
+  /** Estimated prompt and output tokens per second, summed over all routers. */
   readonly tokensPerSecond: number;
-  /** Requests in progress over the whole fleet. */
+  /** In-flight requests, summed over all routers. */
   readonly concurrentRequests: number;
 }
 
@@ -35,9 +37,9 @@
   readonly models: readonly string[];
   readonly services: readonly string[];
   readonly keys: readonly OrganisationKey[];
-  /** 0 is served first, 9 is turned away first. */
+  /** From 0, served first, to 9, refused first under overload. */
   readonly priority: number;
-  /** Share of a saturated system, relative to the other organisations. */
+  /** Share of a saturated system, relative to the weights of other organisations. */
   readonly weight: number;
   readonly limits: OrganisationLimits;
   readonly preference: ResumePreference;
@@ -45,11 +47,11 @@
 
 export interface PlainService {
   readonly name: string;
-  /** Whether its targets refuse a second request with the same `Idempotency-Key`. */
+  /** Whether targets reject a repeated `Idempotency-Key`. */
   readonly checksIdempotencyKey: boolean;
-  /** Methods that may be sent again after a failure. */
+  /** HTTP methods that may be retried after a failure. */
   readonly idempotentMethods: readonly string[];
-  /** Time for one answer, in milliseconds. */
+  /** Time limit for an answer, in milliseconds. */
   readonly timeoutMs: number;
 }
 
@@ -59,7 +61,7 @@
   readonly name: string;
   readonly vm: string;
   readonly zone: string;
-  /** `host:port`, by IP number. */
+  /** `host:port`, where the host is an IP address. */
   readonly address: string;
   readonly vmState: VmState;
 }
@@ -67,9 +69,9 @@
 export interface EngineTarget extends TargetBase {
   readonly kind: 'engine';
   readonly models: readonly string[];
-  /** Generations it runs at once. */
+  /** Generations that the engine runs concurrently. */
   readonly slots: number;
-  /** Whether it refuses an order that carries an old fencing number. */
+  /** Whether the engine refuses a request that carries an outdated fencing number. */
   readonly checksFencing: boolean;
 }
 
@@ -86,7 +88,7 @@
 }
 
 export interface Configuration {
-  /** Revision of the platform's key-value service; only ever rises on one router. */
+  /** Revision in the platform's key-value store. Never decreases on a router. */
   readonly revision: number;
   readonly models: ReadonlyMap<string, Model>;
   readonly organisations: ReadonlyMap<string, Organisation>;
@@ -97,41 +99,47 @@
 
 export type Unsubscribe = () => void;
 
-/** Capability `configuration`. */
+/** Capability `configuration`: the accepted configuration and its changes. */
 export interface ConfigurationReader {
-  /** The newest accepted snapshot; an empty one with revision 0 before the first is known. */
+  /** The latest accepted snapshot, or an empty one with revision 0 before the first is loaded. */
   readonly getConfiguration: () => Configuration;
   readonly subscribeConfiguration: (
     listener: (configuration: Configuration) => void,
   ) => Unsubscribe;
 }
 
-/** One accepted section of the document, as stored. An emptied section is kept as a tombstone. */
+/**
+ * One accepted section of the configuration document, as stored. A section that was emptied remains
+ * as a tombstone.
+ */
 export interface ConfigurationSection {
   readonly name: string;
-  /** Revision of the key-value service at which this text was accepted. */
+  /** Revision of the key-value store at which this text was accepted. */
   readonly revision: number;
   readonly text: string;
 }
 
-/** How fresh a router's configuration is; compared field by field in this order, only rising. */
+/**
+ * How recent a router's configuration is. Announcements are compared field by field in this order,
+ * and that of a router never decreases.
+ */
 export interface ConfigurationAnnouncement {
-  /** Fencing number of the zone's reader; 0 while no reader was heard of. */
+  /** Fencing number of the zone reader, or 0 while none is known. */
   readonly readerFence: number;
-  /** Rises with each confirmed read of that reader. */
+  /** Heartbeat of that reader: incremented by each read that it confirmed. */
   readonly readerBeat: number;
-  /** Revision up to which every section is known. */
+  /** Revision up to which every section is known to this router. */
   readonly revision: number;
 }
 
-/** Capability `configurationExchange`: lets routers learn the document from each other. */
+/** Capability `configurationExchange`: replicates the configuration document between routers. */
 export interface ConfigurationExchange {
   readonly getAnnouncement: () => ConfigurationAnnouncement;
-  /** Sections whose revision is above the given one. */
+  /** Sections with a revision above the given one. */
   readonly listSectionsAfter: (revision: number) => readonly ConfigurationSection[];
-  /** Takes in what a peer has; older revisions of a section never replace newer ones. */
+  /** Merges a peer's sections. An older revision of a section never replaces a newer one. */
   readonly mergeSections: (
-    news: ConfigurationAnnouncement,
+    announcement: ConfigurationAnnouncement,
     sections: readonly ConfigurationSection[],
   ) => void;
 }
--- a/packages/sequoiarill-types/src/forwarding.ts
+++ b/packages/sequoiarill-types/src/forwarding.ts
@@ -1,69 +1,69 @@
-/** What is forwarded where: routes, their services and the targets that run them. */
+/** Routes, the services behind them and the targets that run those services. */
 import type { DecodedRolloutOrder, RolloutStatus } from './rollouts';
 
-/** What may be sent a second time after a failure. */
+/** How the requests of a route may be retried after a failure. */
 export type RetryPolicy =
-  /** May run any number of times. */
+  /** The request may run any number of times. */
   | 'idempotent'
-  /** May run once at most for each request of a caller. */
+  /** The request may run at most once. */
   | 'once'
-  /** A stream that another target may continue after the last event that arrived. */
+  /** A stream that another target may resume after the last event received. */
   | 'resumable';
 
 export interface ForwardingRoute {
   readonly name: string;
-  /** Lower case, without a port. */
+  /** Host name in lower case, without a port. */
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly retryPolicy: RetryPolicy;
-  /** The answer is a series of server-sent events. */
+  /** Whether the answer is a stream of server-sent events. */
   readonly isStream: boolean;
-  /** Runs on model engines, which hold the prompt in memory. */
+  /** Whether requests run on model engines, which cache prompts in their KV cache. */
   readonly hasPrompt: boolean;
-  /** Needs no API key. */
+  /** Whether requests need no API key. */
   readonly isPublic: boolean;
-  /** Longest time a caller is kept waiting for the whole answer, milliseconds. */
+  /** Time limit for the complete answer, milliseconds. */
   readonly timeoutMs: number;
-  /** Answers (streams: first events) within this time are on time, milliseconds. */
+  /** Latency objective for the answer, or for the first event of a stream, milliseconds. */
   readonly objectiveMs: number;
-  /** Longest pause between two events that is still on time, milliseconds. */
+  /** Latency objective for the gap between two events of a stream, milliseconds. */
   readonly maxGapMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Targets that one request may be sent to. */
+  /** Most targets that one request may be sent to. */
   readonly maxTargets: number;
   readonly shares: readonly ServiceShare[];
 }
 
 export interface ServiceShare {
   readonly service: string;
-  /** Relative to the other shares of the route. */
+  /** Weight relative to the other shares of the route. */
   readonly weight: number;
 }
 
-/** What the model engines of a service can do. */
+/** Capacity and features of a service's model engines. */
 export interface EngineTraits {
-  /** Tokens that running requests, copies and cached prompts share. */
+  /** KV cache size, shared by running requests, copies and cached prompts. */
   readonly kvCacheTokens: number;
-  /** Whether a run's memory can be copied to another engine while it grows. */
+  /** Whether a run's KV cache can be backed up to another engine while it grows. */
   readonly hasBackups: boolean;
-  /** Tokens in one event of a stream. */
+  /** Tokens per event of a stream. */
   readonly tokensPerEvent: number;
-  /** Time for which a copy outlives its run, milliseconds. */
+  /** How long a copy is retained after its run has ended, milliseconds. */
   readonly copyLifetimeMs: number;
 }
 
 export interface ForwardingService {
   readonly name: string;
-  /** Connections one of its targets accepts from all routers together. */
+  /** Connections that one target accepts, summed over all routers. */
   readonly maxConnections: number;
-  /** Path of the health check, whose answer names the target. */
+  /** Path of the health check. Its response carries the id of the target. */
   readonly healthPath: string;
   readonly engine?: EngineTraits;
 }
 
-/** What callers may send, and how long they may take or stay idle. */
+/** Size limits and timeouts for callers' requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -74,72 +74,75 @@
 export interface ForwardingOrganisation {
   readonly name: string;
   readonly apiKeys: readonly string[];
-  /** Goes before the priority of the route; 0 is the most urgent. */
+  /** Overrides the priority of the route. 0 is the most urgent. */
   readonly priority?: number;
 }
 
-/** One accepted version of what is forwarded where. */
+/** One accepted version of the forwarding configuration. */
 export interface ForwardingConfiguration {
   readonly version: number;
   readonly routes: readonly ForwardingRoute[];
   readonly services: ReadonlyMap<string, ForwardingService>;
   readonly limits: CallerLimits;
-  /** Absent: no keys are asked for. */
+  /** If absent, requests need no API key. */
   readonly organisations?: readonly ForwardingOrganisation[];
 }
 
 export interface ForwardingTarget {
-  /** Identity of one life of the process; told along with each request. */
+  /** Identity of the target process, sent with each request so that another process rejects it. */
   readonly id: string;
-  /** Start of that life, Unix milliseconds; tells two lives under one id apart. */
+  /** Process start, Unix milliseconds. Distinguishes two incarnations with the same id. */
   readonly startedAtUnixMs: number;
   readonly service: string;
-  /** Of its software; empty where the target does not tell. */
+  /** Software version, empty if the target does not announce one. */
   readonly version: string;
-  /** Names and versions of the models it has loaded; the same text, the same output. */
+  /** Names and versions of the loaded models. Targets with equal text produce equal output. */
   readonly models: string;
   /** `IP:port`. */
   readonly address: string;
   readonly zone: string;
-  /** Requests it runs at once. */
+  /** Requests that the target runs concurrently. */
   readonly slots: number;
   /**
-   * `unconfirmed`: its entry went during an outage of the store or a cut from it. It may have left, or
-   * lives and is about to write its entry again.
+   * `unconfirmed`: the entry disappeared during an outage of the store or a partition from it. The
+   * target may have been removed, or it still runs and has yet to write its entry again.
    */
   readonly state: 'ready' | 'draining' | 'unconfirmed';
-  /** How much longer it stays slow after its start, milliseconds. */
+  /** Remaining warm-up time after a start, during which the target is slow, milliseconds. */
   readonly warmupLeftMs: number;
 }
 
-/** What an engine says of its load. */
+/** Load report of an engine. */
 export interface EngineReport {
   readonly queued: number;
   readonly running: number;
-  /** Running ones that have not made their first event. */
+  /** Running requests that have not produced their first event yet. */
   readonly prefilling: number;
-  /** Request ids of those that have. */
+  /** Ids of the running requests that have produced an event. */
   readonly runIds: readonly string[];
-  /** Tokens of memory that cannot yield. */
+  /** KV cache tokens that cannot be evicted. */
   readonly usedTokens: number;
   readonly totalTokens: number;
   readonly isLeaving: boolean;
 }
 
-/** One part of a prompt; parts before it are the same wherever it is. */
+/** One part of a prompt. Wherever the same part occurs, the parts before it are equal as well. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** Tokens that an engine keeps in memory of each part of a prompt, by the part's id. */
+/** Tokens that an engine has cached of each prompt part, by the id of the part. */
 export type CachedPromptParts = ReadonlyMap<string, number>;
 
-/** A run goes on meanwhile; the copy has what it held when the copy was made. */
+/**
+ * Command to copy a run's KV cache to another engine. The run continues meanwhile; the copy holds
+ * what the run held when the copy was made.
+ */
 export interface CopyCommand {
   /** Request id of the run. */
   readonly runId: string;
-  /** `IP:port` of the engine that is to keep the copy. */
+  /** `IP:port` of the engine that is to hold the copy. */
   readonly holder: string;
 }
 
@@ -151,7 +154,7 @@
   | { readonly kind: 'target'; readonly target: ForwardingTarget }
   | { readonly kind: 'malformed'; readonly reason: string };
 
-/** Names of headers on the wire, all in lower case, by what they carry. */
+/** Header names on the wire, in lower case, by what they carry. */
 export interface HeaderNames {
   readonly requestId: string;
   readonly remainingMs: string;
@@ -161,84 +164,87 @@
   readonly lastEventId: string;
   readonly promptSize: string;
   readonly promptParts: string;
-  /** `IP:port` of the engine that keeps a copy of the run's memory as it grows. */
+  /** `IP:port` of the engine that backs up the run's KV cache as it grows. */
   readonly backupTarget: string;
-  /** Where the copy of a run's memory lies: `IP:port/run`. */
+  /** Location of the copy of a run's KV cache, as `IP:port/run`. */
   readonly continueFrom: string;
   readonly priority: string;
-  /** Tells that an answer is a target's own. */
+  /** Marks an answer as produced by a target, not by something in between. */
   readonly signature: string;
-  /** The target says that it did not run the request. */
+  /** Set by a target that did not run the request. */
   readonly notRun: string;
-  /** Requests a second that the target takes from all routers together, while it says so. */
+  /** Requests per second that the target accepts from all routers together, while it sends this. */
   readonly rateLimit: string;
-  /** Identity of the target that answers. */
+  /** Id of the target that answers. */
   readonly targetId: string;
 }
 
 /**
- * Capability `wire`, provided by the adapter to the environment the process runs in: how the names
- * and formats there map to the types above. It decides nothing.
+ * Capability `wire`: maps the names and formats of the process's environment to the types above.
+ * The adapter for that environment provides it. It makes no decisions.
  */
 export interface ForwardingWire {
   readonly configurationKey: string;
   readonly targetPrefix: string;
-  /** Prefix of the keys that routers may write. */
+  /** Prefix of the store keys that routers may write. */
   readonly ownPrefix: string;
   readonly decodeConfiguration: (text: string) => DecodedConfiguration;
   readonly decodeTarget: (key: string, text: string) => DecodedTarget;
-  /** An order's key is this and the service. */
+  /** Prefix of the keys of rollout orders; the service name follows. */
   readonly rolloutPrefix: string;
   readonly decodeRolloutOrder: (text: string) => DecodedRolloutOrder;
   readonly formatRolloutStatusKey: (service: string) => string;
   readonly encodeRolloutStatus: (status: RolloutStatus) => string;
   readonly headers: HeaderNames;
-  /** Headers that only this system may set towards targets; taken off what callers send. */
+  /** Headers that only this system may send to targets. They are removed from callers' requests. */
   readonly reservedHeaders: ReadonlySet<string>;
-  /** Headers that tell what is to be run; a caller cannot have them dropped on the way. */
+  /**
+   * Headers that determine what a target runs. A caller cannot have them removed by listing them in
+   * `Connection`.
+   */
   readonly essentialHeaders: ReadonlySet<string>;
   readonly reportPath: string;
   readonly decodeReport: (text: string) => EngineReport | undefined;
-  /** Parts in the order in which they are prefilled; none where the text cannot be read. */
+  /** Parts in prefill order, up to the first entry that cannot be parsed. */
   readonly decodePromptParts: (text: string) => readonly PromptPart[];
-  /** Path at an engine that lists the parts of prompts that it keeps. */
+  /** Path at an engine that lists its cached prompt parts. */
   readonly cachedPartsPath: string;
   readonly decodeCachedParts: (text: string) => CachedPromptParts | undefined;
-  /** Path at the engine of a run, where a copy of the run's memory at another engine is ordered. */
+  /** Path at the engine of a run that accepts copy commands. */
   readonly copyPath: string;
-  readonly encodeCopyCommand: (order: CopyCommand) => string;
-  /** Handle under which the copy is known at the engine of the run. */
+  readonly encodeCopyCommand: (command: CopyCommand) => string;
+  /** Handle of the copy at the engine of the run. */
   readonly decodeCopyHandle: (text: string) => string | undefined;
-  /** Path at the engine of the run; deleting it frees the copy at both engines. */
+  /** Path of a copy at the engine of the run. A DELETE frees the copy at both engines. */
   readonly formatCopyPath: (handle: string) => string;
 }
 
-/** One key of the store as it is known. */
+/** One key of the store at its last known revision. */
 export interface StoredEntry {
   readonly key: string;
   readonly revision: number;
   readonly value: string;
 }
 
-/** Capability `directory`: the newest accepted configuration and the targets that live. */
+/** Capability `directory`: the latest accepted configuration and the known targets. */
 export interface Directory {
-  /** Undefined until the first one is known. */
+  /** Undefined until the first configuration is loaded. */
   readonly getConfiguration: () => ForwardingConfiguration | undefined;
   readonly listTargets: (service: string) => readonly ForwardingTarget[];
-  /** The same life of a target as it is known now; undefined when it is gone or was replaced. */
+  /** Current state of the same incarnation, or undefined if the target was removed or replaced. */
   readonly findCurrent: (target: ForwardingTarget) => ForwardingTarget | undefined;
   /**
-   * Whether the store tells what lives. While it does not, targets may have ended or begun another
-   * life unseen.
+   * Whether updates from the store arrive. While they do not, targets may have terminated or
+   * restarted unnoticed.
    */
   readonly isUpToDate: () => boolean;
-  /** Another life was met at a target's address while the store could not tell of it. */
+  /** Records that another incarnation answered at a target's address during a store outage. */
   readonly recordReplacement: (replaced: ForwardingTarget, id: string) => void;
-  /** Routers that are known to live, this one too; at least 1. */
+  /** Number of known routers, including this one; at least 1. */
   readonly countRouters: () => number;
   readonly subscribe: (listener: () => void) => () => void;
-  /** Entries under a prefix, as far as the directory follows it. */
+  /** Entries under a prefix, if the directory follows that prefix. */
   readonly listEntries: (prefix: string) => readonly StoredEntry[];
-  /** An entry that this router or a peer has written; older ones than known change nothing. */
+  /** Records an entry written by this router or a peer. Has no effect if a newer one is known. */
   readonly recordEntry: (entry: StoredEntry) => void;
 }
--- a/packages/sequoiarill-types/src/generations.ts
+++ b/packages/sequoiarill-types/src/generations.ts
@@ -1,4 +1,4 @@
-/** One request for generated text, what it yields and how it ends. */
+/** Requests for generated text, the tokens that they yield and their outcomes. */
 import type { Organisation } from './configuration';
 
 export type MessageRole = 'system' | 'developer' | 'user' | 'assistant';
@@ -9,28 +9,28 @@
 }
 
 export interface GenerationRequest {
-  /** Unguessable; the same one in logs, `explain` and towards the engines. */
+  /** Unguessable id, also used in logs, in `explain` and in requests to engines. */
   readonly requestId: string;
   readonly organisation: Organisation;
   readonly model: string;
   readonly messages: readonly ChatMessage[];
-  /** For the whole answer, over all engines that take part, in tokens. */
+  /** Limit for the complete answer, summed over all engines that contribute to it, in tokens. */
   readonly maxOutputTokens: number;
-  /** The answer ends before the first of these. */
+  /** Stop sequences. The answer ends before the first one that occurs. */
   readonly stop: readonly string[];
   readonly temperature?: number;
   readonly topP?: number;
   readonly seed?: number;
-  /** Aborted when the caller cancels or has left for good. */
+  /** Aborted when the caller cancels or has disconnected without resuming in time. */
   readonly signal: AbortSignal;
 }
 
-/** Tokens that became certain together. Never yielded again, never taken back. */
+/** Tokens that became final together. A batch is yielded once and never retracted. */
 export interface TokenBatch {
-  /** May be empty while text is held back as the possible start of a stop sequence. */
+  /** Empty while text is withheld because it may be the start of a stop sequence. */
   readonly text: string;
   readonly tokenCount: number;
-  /** Which generation of the request it came from; rises by one with each engine tried. */
+  /** Generation of the request that produced the batch; incremented for each engine tried. */
   readonly generation: number;
 }
 
@@ -41,23 +41,23 @@
 
 export type FinishReason = 'stop' | 'length';
 
-/** The whole answer was yielded. */
+/** The complete answer was yielded. */
 export interface GenerationCompleted {
   readonly kind: 'completed';
   readonly finishReason: FinishReason;
   readonly usage: Usage;
 }
 
-/** Given up before any engine had it: no engine ran it and none will. */
+/** The request ended before it was sent to an engine; no engine ran it or will run it. */
 export interface GenerationNotRun {
   readonly kind: 'notRun';
-  /** `organisationLimit` is answered 429, the others 503. */
+  /** Callers receive status 429 for `organisationLimit` and 503 for the others. */
   readonly reason: 'organisationLimit' | 'overloaded' | 'noTarget' | 'draining';
   readonly message: string;
   readonly retryAfterSeconds: number;
 }
 
-/** An engine had it, and no engine can go on with it. What was yielded stands. */
+/** An engine was lost and no other can continue. The tokens yielded so far remain valid. */
 export interface GenerationLost {
   readonly kind: 'lost';
   readonly message: string;
@@ -65,7 +65,7 @@
   readonly retryAfterSeconds: number;
 }
 
-/** The engine refused the request for what is in it, such as a prompt over the context. */
+/** The engine rejected the request's content, such as a prompt longer than the context. */
 export interface GenerationRejected {
   readonly kind: 'rejected';
   readonly message: string;
@@ -84,9 +84,12 @@
   | GenerationRejected
   | GenerationCancelled;
 
-/** Capability `generations`. */
+/** Capability `generations`: runs requests for generated text. */
 export interface GenerationRunner {
-  /** The whole life of one answer; returning early from the generator cancels it at the engine. */
+  /**
+   * Runs one request to its outcome, over as many engines as needed. Returning early from the
+   * generator cancels the request at the engine.
+   */
   readonly runGeneration: (
     request: GenerationRequest,
   ) => AsyncGenerator<TokenBatch, GenerationOutcome, void>;
--- a/packages/sequoiarill-types/src/journal.ts
+++ b/packages/sequoiarill-types/src/journal.ts
@@ -1,4 +1,4 @@
-/** What was decided for a request, when and why: the source of `sequoiarill explain`. */
+/** Decisions made for each request, with time and reason. `sequoiarill explain` prints them. */
 
 export type DecisionKind =
   | 'accepted'
@@ -17,16 +17,16 @@
 
 export interface DecisionEntry {
   readonly kind: DecisionKind;
-  /** Wall clock, ISO 8601; for people only, never compared. */
+  /** Wall-clock time, ISO 8601, for display only. Never compared. */
   readonly at: string;
-  /** Milliseconds since the first entry of the request. */
+  /** Time since the first entry of the request, milliseconds. */
   readonly elapsedMs: number;
-  /** One plain sentence: what was decided and why. */
+  /** One sentence for operators: what was decided and why. */
   readonly reason: string;
   readonly details: Readonly<Record<string, unknown>>;
 }
 
-/** Bounded; the oldest requests are forgotten first. */
+/** Bounded record of decisions. The oldest requests are evicted first. */
 export interface Journal {
   readonly recordDecision: (
     requestId: string,
--- a/packages/sequoiarill-types/src/keyValue.ts
+++ b/packages/sequoiarill-types/src/keyValue.ts
@@ -1,21 +1,21 @@
-/** The platform's key-value service as the system uses it. */
+/** Interface to the platform's key-value store. */
 
 export interface KeyValueEntry {
   readonly key: string;
   readonly value: string;
-  /** Revision of the last change of this key. */
+  /** Revision of the last change to this key. */
   readonly revision: number;
   /** Revision at which this key was created. */
   readonly createRevision: number;
 }
 
-/** The call had no effect. */
+/** The call failed and had no effect. */
 export interface KeyValueUnavailable {
   readonly kind: 'unavailable';
   readonly message: string;
 }
 
-/** The call may have taken effect; the answer was lost. */
+/** The response was lost, so the call may or may not have taken effect. */
 export interface KeyValueUnknown {
   readonly kind: 'unknown';
   readonly message: string;
@@ -33,7 +33,7 @@
   readonly revision: number;
 }
 
-/** A comparison failed; nothing was written. `current` are the compared keys as they are now. */
+/** A comparison failed and nothing was written. `current` holds the compared keys as stored. */
 export interface KeyValueConflict {
   readonly kind: 'conflict';
   readonly revision: number;
@@ -42,13 +42,13 @@
 
 export interface KeyComparison {
   readonly key: string;
-  /** Revision the key must have; 0 for a key that must not exist. */
+  /** Revision that the key must have, or 0 if the key must not exist. */
   readonly revision: number;
 }
 
 export interface KeyWrite {
   readonly key: string;
-  /** Absent: the key is removed. */
+  /** If absent, the write removes the key. */
   readonly value?: string;
   readonly leaseId?: string;
 }
@@ -71,7 +71,7 @@
 
 export interface KeyChange {
   readonly key: string;
-  /** Absent: the key was removed. */
+  /** Absent if the key was removed. */
   readonly entry?: KeyValueEntry;
   readonly revision: number;
 }
@@ -82,7 +82,10 @@
   readonly changes: readonly KeyChange[];
 }
 
-/** Changes between the revision asked for and `oldestRevision` are gone: read the range again. */
+/**
+ * The changes between the requested revision and `oldestRevision` were compacted, so the range has
+ * to be read again.
+ */
 export interface WatchCompacted {
   readonly kind: 'compacted';
   readonly oldestRevision: number;
@@ -90,16 +93,16 @@
 
 export type WatchEvent = WatchChanges | WatchCompacted;
 
-/** Some of the entries under a prefix, in the order of their keys. Pages are no snapshot. */
+/** Some of the entries under a prefix, ordered by key. Pages do not form a consistent snapshot. */
 export interface KeyValuePage extends Omit<KeyValueRange, 'kind'> {
   readonly kind: 'page';
-  /** More follow after the last entry. */
+  /** Whether more entries follow the last one. */
   readonly hasMore: boolean;
 }
 
-/** Capability `keyValue`. Each call counts against the platform's budget. */
+/** Capability `keyValue`. Each call counts against the platform's request budget. */
 export interface KeyValueStore {
-  /** Entries after a key; the empty one stands for the beginning. */
+  /** Reads entries after a key. An empty key starts at the beginning. */
   readonly readPage: (
     prefix: string,
     afterKey: string,
@@ -116,12 +119,15 @@
     leaseId: string,
   ) => Promise<LeaseGranted | LeaseExpired | KeyValueUnavailable>;
   readonly revokeLease: (leaseId: string) => Promise<void>;
-  /** Ends when the connection breaks or the signal is aborted; the caller reads and watches anew. */
+  /**
+   * Ends when the connection breaks or the signal is aborted. The caller then has to read the range
+   * again and start a new watch.
+   */
   readonly watchPrefix: (
     prefix: string,
     fromRevision: number,
     signal: AbortSignal,
-    /** Longest time until an event tells at least that nothing has changed, milliseconds. */
+    /** Longest time until the next event, milliseconds. It has no changes if nothing changed. */
     waitMs?: number,
   ) => AsyncGenerator<WatchEvent, void, void>;
 }
--- a/packages/sequoiarill-types/src/membership.ts
+++ b/packages/sequoiarill-types/src/membership.ts
@@ -1,4 +1,7 @@
-/** What routers know of each other and of the targets, sooner than the platform's VM list. */
+/**
+ * State of routers and targets, exchanged between routers. It shows failures sooner than the
+ * platform's VM list.
+ */
 import type { Unsubscribe } from './configuration';
 
 export type PeerState = 'alive' | 'suspect' | 'dead' | 'leaving';
@@ -7,9 +10,9 @@
   readonly name: string;
   readonly zone: string;
   readonly region: string;
-  /** `host:port` of its peer listener. */
+  /** `host:port` of the peer's listener for other routers. */
   readonly address: string;
-  /** Rises with each start of the process; facts of a lower one are ignored. */
+  /** Increases with each start of the process. Facts about a lower one are ignored. */
   readonly incarnation: number;
   readonly state: PeerState;
   readonly configurationRevision: number;
@@ -17,27 +20,27 @@
 
 export type TargetState = 'healthy' | 'slow' | 'dead' | 'leaving';
 
-/** What one router saw of one target. */
+/** One router's observation of one target. */
 export interface TargetReport {
   readonly target: string;
   readonly state: TargetState;
-  /** Generations running and waiting there, where the target said so. */
+  /** Generations that run and wait at the target, if it reported them. */
   readonly running?: number;
   readonly waiting?: number;
 }
 
 export interface TargetHealth extends TargetReport {
-  /** Router that saw it. */
+  /** Router that made the observation. */
   readonly observer: string;
-  /** Since it was seen, in milliseconds. */
+  /** Age of the observation, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** Capability `membership`. */
+/** Capability `membership`: the known peers and the health of targets. */
 export interface Membership {
   readonly listPeers: () => readonly Peer[];
   readonly getTargetHealth: (target: string) => TargetHealth | undefined;
-  /** Tells this router's own observation; reaches the zone's other routers within two seconds. */
+  /** Publishes this router's own observation to the zone's other routers, within two seconds. */
   readonly reportTarget: (report: TargetReport) => void;
   readonly subscribeTargets: (listener: (health: TargetHealth) => void) => Unsubscribe;
 }
--- a/packages/sequoiarill-types/src/orders.ts
+++ b/packages/sequoiarill-types/src/orders.ts
@@ -1,4 +1,4 @@
-/** A call to a plain service behind sequoiarill and how it ends. */
+/** Orders: calls to plain services, and their outcomes. */
 import type { Organisation } from './configuration';
 
 export interface OrderRequest {
@@ -6,16 +6,16 @@
   readonly organisation: Organisation;
   readonly service: string;
   readonly method: string;
-  /** Path and query below the service, beginning with `/`. */
+  /** Path and query relative to the service, beginning with `/`. */
   readonly path: string;
-  /** Lower-case names; hop-by-hop headers and the caller's key are already removed. */
+  /** Header names in lower case, without hop-by-hop headers and the caller's API key. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
   readonly idempotencyKey?: string;
   readonly signal: AbortSignal;
 }
 
-/** The service answered; the answer is passed on whatever its status is. */
+/** The service answered. The answer is forwarded whatever its status. */
 export interface OrderDone {
   readonly kind: 'done';
   readonly status: number;
@@ -23,10 +23,13 @@
   readonly body: Uint8Array;
 }
 
-/** No byte of it reached a target. */
+/** No byte of the order reached a target. */
 export interface OrderNotRun {
   readonly kind: 'notRun';
-  /** `keyReused` is answered 422, `inProgress` 409, `unknownService` 404, `organisationLimit` 429. */
+  /**
+   * Callers receive status 422 for `keyReused`, 409 for `inProgress`, 404 for `unknownService` and
+   * 429 for `organisationLimit`.
+   */
   readonly reason:
     | 'unknownService'
     | 'noTarget'
@@ -40,7 +43,7 @@
   readonly retryAfterSeconds: number;
 }
 
-/** Bytes may have reached a target and no answer came: it ran once or not at all. */
+/** Bytes may have reached a target, but no answer came: the order ran once or not at all. */
 export interface OrderUnknown {
   readonly kind: 'unknown';
   readonly message: string;
@@ -48,7 +51,7 @@
 
 export type OrderOutcome = OrderDone | OrderNotRun | OrderUnknown;
 
-/** Capability `orders`. */
+/** Capability `orders`: runs calls to plain services. */
 export interface OrderRunner {
   readonly runOrder: (order: OrderRequest) => Promise<OrderOutcome>;
 }
--- a/packages/sequoiarill-types/src/peers.ts
+++ b/packages/sequoiarill-types/src/peers.ts
@@ -1,50 +1,50 @@
-/** What routers ask of each other beside the directory. */
+/** Messages between routers other than directory records. */
 
-/** A part of the repeats of a service that one router asks of another. */
+/** One router's request for part of another router's retry quota for a service. */
 export interface RetryQuotaRequest {
   readonly service: string;
-  /** Parts of a repeat count too. */
+  /** Number of retries; may be fractional. */
   readonly repeats: number;
 }
 
 export type RetryQuotaOutcome =
   | { readonly kind: 'granted'; readonly repeats: number }
-  /** The peer did not answer in time. */
+  /** The call failed, or the peer did not respond in time. */
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** Answers of one route that targets of one version gave to one router, since the order. */
+/** One router's counts of the answers of one version on one route, since the rollout order. */
 export interface VersionCounts {
   readonly route: string;
-  /** Absent: all targets of the version that is to be replaced. */
+  /** If absent, the counts cover all targets of the version that is being replaced. */
   readonly target?: string;
   readonly failures: number;
-  /** Other answers, by latency class. */
+  /** Number of answers other than failures, by latency class. */
   readonly byLatency: readonly number[];
-  /** Requests without an answer so far, by the class of the time that they have waited. */
+  /** Number of unanswered requests, by the latency class of their waiting time so far. */
   readonly waiting: readonly number[];
 }
 
-/** What one router has seen of a roll-out. */
+/** One router's observations of a rollout. */
 export interface RolloutReport {
   readonly service: string;
-  /** Revision of the order; another one is another roll-out. */
+  /** Revision of the rollout order. It identifies the rollout. */
   readonly orderRevision: number;
-  /** `IP:port` of the router, as its peers know it. */
+  /** `IP:port` of the reporting router, as its peers know it. */
   readonly router: string;
-  /** Since the order, as far as this router knows, milliseconds. */
+  /** Time since the order, as far as this router knows, milliseconds. */
   readonly elapsedMs: number;
-  /** Requests in progress here at targets that get no new work. */
+  /** In-flight requests of this router at targets that receive no new work. */
   readonly leaving: number;
   readonly tallies: readonly VersionCounts[];
 }
 
-/** What the router that decides a roll-out tells the one that reports. */
+/** Response to a rollout report, from the router that evaluates the rollout. */
 export interface RolloutGuidance {
-  /** The version is bad: it gets nothing more, also before the store knows. */
+  /** The version was found bad and receives no requests, even before this is in the store. */
   readonly isHalted: boolean;
-  /** Targets of the version that are judged bad by themselves. */
+  /** Targets of the version that were found bad individually. */
   readonly avoided: readonly string[];
-  /** The roll-out's state, if the router that answers knows one. */
+  /** State of the rollout, if the responding router knows one. */
   readonly state?: { readonly revision: number; readonly value: string };
 }
 
@@ -52,23 +52,26 @@
   | { readonly kind: 'guided'; readonly guidance: RolloutGuidance }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** A target ended while it began to run a request with this content. */
+/**
+ * A target terminated while it began to run a request with this content. The content is a hash of a
+ * request's method, host, path, organisation and body.
+ */
 export interface Crash {
   readonly content: string;
-  /** One life of a target: crashes of the same one count once. */
+  /** One incarnation of a target. Several crash reports for it count as one. */
   readonly target: string;
   readonly ageMs: number;
 }
 
-/** A content under which so many targets ended that no router sends it to another one. */
+/** A content that terminated so many targets that no router sends it to another one. */
 export interface ContentBlock {
   readonly content: string;
-  /** Of the first and of the last crash, milliseconds. */
+  /** Ages of the first and of the last crash, milliseconds. */
   readonly firstAgeMs: number;
   readonly lastAgeMs: number;
 }
 
-/** A content was answered in whole: crashes before that were not its fault. */
+/** A request with this content was answered completely, so the content caused no earlier crash. */
 export interface ContentAnswer {
   readonly content: string;
   readonly ageMs: number;
@@ -81,43 +84,46 @@
   | { readonly kind: 'blocks'; readonly blocks: readonly ContentBlock[] }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** What a router makes of crashes and blocks that its peers tell. */
+/** Handlers for crash reports, answers and blocks received from peers. */
 export interface CrashHandlers {
   readonly handleCrashes: (crashes: readonly Crash[]) => void;
   readonly handleAnswers: (answers: readonly ContentAnswer[]) => void;
-  /** Returns the blocks that are known here. */
+  /** Returns the blocks that this router knows. */
   readonly handleBlocks: (blocks: readonly ContentBlock[]) => readonly ContentBlock[];
 }
 
 export interface RouterLocation {
-  /** `IP:port`, as its peers know it. */
+  /** `IP:port`, as the router's peers know it. */
   readonly address: string;
   readonly zone: string;
 }
 
 export interface RateLimitedTarget {
-  /** One life of a target. */
+  /** Identifies one incarnation of a target. */
   readonly life: string;
   readonly zone: string;
 }
 
-/** What a target was last heard to name. */
+/** The rate limit that a target announced last. */
 export interface ObservedLimit {
-  /** Requests a second over all routers; absent where it names none any more. */
+  /** Requests per second from all routers together; absent if the target announces no limit now. */
   readonly perSecond?: number;
   readonly ageMs: number;
 }
 
-/** A router that does not send to a target by itself asks one that does. */
+/**
+ * Request for permits to send to a rate-limited target, from a router that has no share of the
+ * limit to one that has.
+ */
 export interface PermitsRequest extends RateLimitedTarget {
-  /** Requests that it wants to send now; 0 where it only asks for the limit. */
+  /** Number of requests to send now, or 0 to exchange only the known limit. */
   readonly wanted: number;
   readonly known: ObservedLimit;
 }
 
 export interface GrantedPermits {
   readonly permits: number;
-  /** Absent where the router that answers knows nothing of the target. */
+  /** Absent if the responding router knows no limit of the target. */
   readonly known?: ObservedLimit;
 }
 
@@ -125,32 +131,36 @@
   | { readonly kind: 'granted'; readonly granted: GrantedPermits }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** Capability `peers`: the other routers, as the directory knows them. */
+/** Capability `peers`: calls to the other routers that the directory lists. */
 export interface RouterPeers {
-  /** `IP:port` of other routers, those of this router's zone first and otherwise in random order. */
+  /** `IP:port` of the other routers, the local zone first, each group in random order. */
   readonly listNearest: () => readonly string[];
-  readonly borrowRetryQuota: (peer: string, loan: RetryQuotaRequest) => Promise<RetryQuotaOutcome>;
-  /** Who decides what this router lends to others; until it is told, nothing is lent. */
-  readonly setRetryQuotaLender: (lendRepeats: (loan: RetryQuotaRequest) => number) => void;
+  readonly borrowRetryQuota: (
+    peer: string,
+    request: RetryQuotaRequest,
+  ) => Promise<RetryQuotaOutcome>;
+  /** Sets the function that grants retry quota to other routers. Until then, none is granted. */
+  readonly setRetryQuotaLender: (grantQuota: (request: RetryQuotaRequest) => number) => void;
   /** `IP:port` of this router. */
   readonly self: string;
-  /** All routers that are known, this one too. */
+  /** All known routers, including this one. */
   readonly listRouters: () => readonly RouterLocation[];
   readonly sendReport: (peer: string, report: RolloutReport) => Promise<GuidanceOutcome>;
-  /** To a router that counts crashes of their contents over all routers. */
+  /** Reports crashes to an aggregator, which counts them for all routers by content. */
   readonly reportCrashes: (peer: string, crashes: readonly Crash[]) => Promise<CrashReportOutcome>;
   readonly reportAnswers: (
     peer: string,
     answers: readonly ContentAnswer[],
   ) => Promise<CrashReportOutcome>;
-  /** Tells a router the blocks that are known here, and learns those known there. */
+  /** Sends this router's blocks to a peer and receives those that the peer knows. */
   readonly exchangeBlocks: (
     peer: string,
     blocks: readonly ContentBlock[],
   ) => Promise<BlockExchangeOutcome>;
   readonly setCrashHandlers: (handlers: CrashHandlers) => void;
-  readonly borrowPermits: (peer: string, question: PermitsRequest) => Promise<PermitsOutcome>;
-  readonly setPermitsLender: (lendPermits: (question: PermitsRequest) => GrantedPermits) => void;
-  /** Who takes in reports of other routers. */
+  readonly borrowPermits: (peer: string, request: PermitsRequest) => Promise<PermitsOutcome>;
+  /** Sets the function that grants permits to other routers. Until then, none are granted. */
+  readonly setPermitsLender: (grantPermits: (request: PermitsRequest) => GrantedPermits) => void;
+  /** Sets the handler for rollout reports of other routers. */
   readonly setReportHandler: (handleReport: (report: RolloutReport) => RolloutGuidance) => void;
 }
--- a/packages/sequoiarill-types/src/plugins.ts
+++ b/packages/sequoiarill-types/src/plugins.ts
@@ -1,4 +1,4 @@
-/** What a plug-in is to the kernel, and what the kernel gives it. */
+/** Interfaces between the kernel and its plugins. */
 import type { ServiceBroker, ServiceSchema } from 'moleculer';
 import type { ZodType } from 'zod';
 
@@ -12,7 +12,7 @@
 import type { RouterPeers } from './peers';
 import type { Rollouts } from './rollouts';
 
-/** Capabilities that plug-ins provide to each other; looked up once, at start. */
+/** Capabilities that plugins provide to each other. They are resolved once, at start. */
 export interface Capabilities {
   readonly configuration: ConfigurationReader;
   readonly configurationExchange: ConfigurationExchange;
@@ -30,13 +30,13 @@
 
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'fatal';
 
-/** A numbered log event; docs/operators/EVENTS.md lists them all. */
+/** A numbered log event. All events are listed in docs/operators/EVENTS.md. */
 export interface EventDefinition {
   readonly number: number;
   readonly level: LogLevel;
   /** Stable name, such as `platform.away`. */
   readonly name: string;
-  /** What happened and what an operator may do. */
+  /** What happened and what an operator can do about it. */
   readonly message: string;
 }
 
@@ -47,26 +47,26 @@
 
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Silent when no sink is set. Names are listed in docs/operators/METRICS.md. */
+/** Does nothing if no sink is set. Names are listed in docs/operators/METRICS.md. */
 export interface Metrics {
   readonly addCount: (name: string, value?: number, tags?: MetricTags) => void;
   readonly setGauge: (name: string, value: number, tags?: MetricTags) => void;
-  /** Milliseconds. */
   readonly recordTiming: (name: string, valueMs: number, tags?: MetricTags) => void;
 }
 
-/** Time as an argument, so that tests run without waiting. */
+/** Source of time, passed as a dependency so that tests can replace it and run without waiting. */
 export interface Clock {
-  /** Monotonic, milliseconds; for deadlines on this process only. */
+  /** Monotonic time, milliseconds. Comparable within this process only. */
   readonly getNowMs: () => number;
   /**
-   * Milliseconds without the pauses of this process: how long another process was silent is what this one
-   * could have heard. Never for a time that somebody else measures too, such as a lease or a deadline.
+   * Monotonic time without the pauses of this process, milliseconds. Measures the silence of
+   * another process, from which nothing can be received during a pause. Never use it for a time
+   * that another party measures as well, such as a lease or a deadline.
    */
   readonly getRunningMs: () => number;
-  /** ISO 8601; for people only. */
+  /** Wall-clock time, ISO 8601, for display only. */
   readonly getWallTime: () => string;
-  /** Ends early, without an error, when the signal is aborted. */
+  /** Resolves early, without an error, when the signal is aborted. */
   readonly waitMs: (ms: number, signal?: AbortSignal) => Promise<void>;
 }
 
@@ -85,19 +85,19 @@
   readonly metrics: Metrics;
   readonly journal: Journal;
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Uniformly distributed random number in [0, 1). */
   readonly nextRandom: () => number;
   readonly broker: ServiceBroker;
   readonly getPhase: () => LifecyclePhase;
-  /** Whole process: phase, plug-ins and the state each of them dumps. */
+  /** State of the process and of each plugin. */
   readonly dumpProcess: () => Promise<ProcessDump>;
-  /** Asks the process to drain and stop, as SIGTERM does. */
+  /** Starts draining and stopping the process, as SIGTERM does. */
   readonly requestStop: () => void;
-  /** Only names the plug-in lists in `needs`. */
+  /** Accepts only names that the plugin lists in `needs`. */
   readonly getCapability: <Name extends CapabilityName>(name: Name) => Capabilities[Name];
 }
 
-/** Values of a dump must survive `JSON.stringify` and never hold a secret. */
+/** Values must be serializable by `JSON.stringify` and must not contain secrets. */
 export type StateDump = Readonly<Record<string, unknown>>;
 
 export interface ProcessDump {
@@ -110,19 +110,19 @@
 
 export interface PluginInstance {
   readonly capabilities?: Partial<Capabilities>;
-  /** Local moleculer services, such as an HTTP front. */
+  /** Local moleculer services, such as an HTTP server. */
   readonly services?: readonly ServiceSchema[];
   readonly start?: () => Promise<void>;
-  /** Takes no new work and ends when the work in progress has ended. */
+  /** Stops accepting work and resolves once the work in progress has finished. */
   readonly drain?: () => Promise<void>;
   readonly stop?: () => Promise<void>;
   readonly dumpState: () => StateDump;
 }
 
 export interface Plugin<Settings = unknown> {
-  /** Also the name of its settings section. */
+  /** Also the name of the plugin's settings section. */
   readonly name: string;
-  /** Checks the section; every key needs a default or a clear error. */
+  /** Validates the settings section. Every key needs a default or a clear error message. */
   readonly settingsSchema: ZodType<Settings>;
   readonly provides: readonly CapabilityName[];
   readonly needs: readonly CapabilityName[];
--- a/packages/sequoiarill-types/src/rollouts.ts
+++ b/packages/sequoiarill-types/src/rollouts.ts
@@ -1,11 +1,11 @@
-/** Moving a service's requests to another version of its targets. */
+/** Rollouts: moving a service's requests to another version of its targets. */
 import type { ForwardingTarget } from './forwarding';
 
-/** An operator asks for a service to move to the targets of a version. */
+/** An operator's order to move a service to the targets of another version. */
 export interface RolloutOrder {
   readonly service: string;
   readonly toVersion: string;
-  /** Time in which it is to be decided, milliseconds from the order on. */
+  /** Time from the order until the rollout must have completed or rolled back, milliseconds. */
   readonly durationMs: number;
 }
 
@@ -13,50 +13,56 @@
   | { readonly kind: 'order'; readonly order: RolloutOrder }
   | { readonly kind: 'malformed'; readonly reason: string };
 
-/** What operators are told of a roll-out. */
+/** State of a rollout as reported to operators. */
 export interface RolloutStatus {
   readonly toVersion: string;
-  /** `completed`: the other targets may stop at once; `rolledBack`: those of the version may. */
+  /**
+   * `completed`: targets of other versions may stop now. `rolledBack`: those of the new version
+   * may.
+   */
   readonly state: 'inProgress' | 'completed' | 'rolledBack';
 }
 
 export type RolloutPhase =
-  /** No router has taken it up; the version gets nothing. */
+  /** No router has started the rollout yet. The version receives no requests. */
   | 'ordered'
-  /** A small share goes to a few of its targets. */
+  /** A few targets of the version receive a small share of the requests. */
   | 'canary'
-  /** A larger share goes to so many that each is loaded as the others are. */
+  /** The version receives a larger share, on as many targets as give each the usual load. */
   | 'trial'
-  /** All new work goes to it; work in progress elsewhere ends or is handed over. */
+  /** All new requests go to the version. In-flight requests elsewhere finish or are handed over. */
   | 'moving'
   | 'completed'
   | 'rolledBack';
 
-/** A request that a target was sent, for the comparison of versions. */
+/** A request sent to a target, recorded for the comparison of versions. */
 export interface VersionAttempt {
   readonly target: ForwardingTarget;
   readonly route: string;
-  /** Within which the answer is on time, milliseconds. */
+  /** Latency objective for the answer, milliseconds. */
   readonly objectiveMs: number;
 }
 
 /**
- * `answered`: the whole answer, of a stream its first event. `failed`: an answer of the target that says so.
- * `unknown`: none of its own; connections that broke are no evidence against a version.
+ * `answered`: the target sent a complete answer, or the first event of a stream. `failed`: the
+ * target answered that it failed. `unknown`: no answer came from the target; a broken connection is
+ * no evidence against its version.
  */
 export type VersionAttemptResult = 'answered' | 'failed' | 'unknown';
 
-/** Capability `rollouts`: which versions requests may go to. */
+/** Capability `rollouts`: selects the versions that requests may be sent to. */
 export interface Rollouts {
-  /** `draw` is a request's own, uniform in [0, 1), and the same for its whole life. */
+  /**
+   * `draw` is a uniform random number in [0, 1), drawn once per request and kept for its retries.
+   */
   readonly selectTargets: (
     targets: readonly ForwardingTarget[],
     draw: number,
   ) => readonly ForwardingTarget[];
-  /** New work no longer goes to the target's version, and streams there are to go on elsewhere. */
+  /** Whether the target's version gets no new work and its streams are to continue elsewhere. */
   readonly isLeaving: (target: ForwardingTarget) => boolean;
-  /** Gives what is to be called with the end; calls after the first one change nothing. */
-  readonly recordAttempt: (send: VersionAttempt) => (end: VersionAttemptResult) => void;
-  /** Who tells how many requests of this router a target works on. */
-  readonly setInFlightCounter: (getInFlight: (target: ForwardingTarget) => number) => void;
+  /** Returns a function to call with the result. Only its first call counts. */
+  readonly recordAttempt: (attempt: VersionAttempt) => (result: VersionAttemptResult) => void;
+  /** Sets the function that returns this router's number of in-flight requests at a target. */
+  readonly setInFlightCounter: (countInFlight: (target: ForwardingTarget) => number) => void;
 }
