--- a/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
@@ -40,7 +40,7 @@
   target: ForwardingTarget,
   status: number,
 ): void {
-  if (status === MISDIRECTED) registry.recordReplaced(target);
+  if (status === MISDIRECTED) registry.recordReplacement(target);
   else registry.recordFailure(target);
 }
 
@@ -102,9 +102,9 @@
   const mayCancel = request.route.retryPolicy !== 'once';
   if (mayCancel) request.closed.addEventListener('abort', call.cancel, { once: true });
   const { clock } = dependencies;
-  const silentUntilMs = clock.getRunningMs() + limitMs;
-  const limits = { silentUntilMs, expiresAtMs: request.expiresAtMs };
-  const readNext = () => TargetCalls.readPatiently(clock, call, limits);
+  const silenceDeadlineMs = clock.getRunningMs() + limitMs;
+  const limits = { silenceDeadlineMs, expiresAtMs: request.expiresAtMs };
+  const readNext = () => TargetCalls.readNextEvent(clock, call, limits);
   const recordEnd = dependencies.registry.recordStart(target);
   try {
     const first = await readNext();
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
@@ -23,7 +23,7 @@
 import type { BoundedLog } from '../boundedLog';
 import type { ForwardRequest } from '../forwardRequest';
 import * as Events from '../events';
-import * as TargetLives from '../targets/targetLife';
+import * as TargetIncarnations from '../targets/targetIncarnation';
 import * as BlockEntries from './blockEntry';
 import * as CrashAggregators from './crashAggregators';
 import type { EndedCheck } from './endedCheck';
@@ -128,7 +128,9 @@
     target: ForwardingTarget,
   ): void {
     log.logEvent(Events.TARGET_ENDED, { request: id, content, target: target.id });
-    startAll([reportCrash({ content, target: TargetLives.formatLife(target), ageMs: 0 })]);
+    startAll([
+      reportCrash({ content, target: TargetIncarnations.formatIncarnation(target), ageMs: 0 }),
+    ]);
   }
 
   function logNotCounted(
--- a/packages/sequoiarill-plugin-forwarding/src/front/replies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/replies.ts
@@ -171,7 +171,7 @@
       });
       sendHead(dependencies, response, piece.head, {});
     } else {
-      timing.recordPiece(dependencies.clock.getNowMs());
+      timing.recordEvents(dependencies.clock.getNowMs());
       if (!response.write(piece.bytes)) await waitForDrain(response, request.closed);
     }
   }
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -16,7 +16,7 @@
 import type { BoundedLog } from '../boundedLog';
 import * as Events from '../events';
 import type { AnswerHead } from '../forwardRequest';
-import * as TargetLives from '../targets/targetLife';
+import * as TargetIncarnations from '../targets/targetIncarnation';
 import * as LimitNews from './limitNews';
 
 export interface TargetLimits {
@@ -70,7 +70,7 @@
 }
 
 function buildLimited(target: ForwardingTarget): RateLimitedTarget {
-  return { life: TargetLives.formatLife(target), zone: target.zone };
+  return { life: TargetIncarnations.formatIncarnation(target), zone: target.zone };
 }
 
 export function createTargetLimits(options: TargetLimitsOptions): TargetLimits {
@@ -190,14 +190,17 @@
       if (!isOpen) updateLimit(limited);
       return isOpen;
     },
-    recordSend: (target) => limits.recordSend(TargetLives.formatLife(target), clock.getNowMs()),
+    recordSend: (target) =>
+      limits.recordSend(TargetIncarnations.formatIncarnation(target), clock.getNowMs()),
     async borrowPermit(targets) {
       for (const target of targets) if (await borrowOne(target)) return true;
       return false;
     },
     getRetrySeconds(targets) {
       const waitsMs = targets
-        .map((target) => limits.getWaitMs(TargetLives.formatLife(target), clock.getNowMs()))
+        .map((target) =>
+          limits.getWaitMs(TargetIncarnations.formatIncarnation(target), clock.getNowMs()),
+        )
         .filter((waitMs) => waitMs !== undefined);
       const { least, most, unknown } = RETRY_SECONDS;
       const seconds = waitsMs.length === 0 ? unknown : Math.min(...waitsMs) / MS_PER_SECOND;
