--- a/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
@@ -23,7 +23,7 @@
 import type { BoundedLog } from '../boundedLog';
 import type { ForwardRequest } from '../forwardRequest';
 import * as Events from '../events';
-import * as TargetIncarnations from '../targets/targetIncarnation';
+import * as Incarnations from '../targets/targetIncarnation';
 import * as BlockEntries from './blockEntry';
 import * as CrashAggregators from './crashAggregators';
 import type { EndedCheck } from './endedCheck';
@@ -128,9 +128,7 @@
     target: ForwardingTarget,
   ): void {
     log.logEvent(Events.TARGET_ENDED, { request: id, content, target: target.id });
-    startAll([
-      reportCrash({ content, target: TargetIncarnations.formatIncarnation(target), ageMs: 0 }),
-    ]);
+    startAll([reportCrash({ content, target: Incarnations.formatIncarnation(target), ageMs: 0 })]);
   }
 
   function logNotCounted(
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -16,7 +16,7 @@
 import type { BoundedLog } from '../boundedLog';
 import * as Events from '../events';
 import type { AnswerHead } from '../forwardRequest';
-import * as TargetIncarnations from '../targets/targetIncarnation';
+import * as Incarnations from '../targets/targetIncarnation';
 import * as LimitNews from './limitNews';
 
 export interface TargetLimits {
@@ -70,7 +70,7 @@
 }
 
 function buildLimited(target: ForwardingTarget): RateLimitedTarget {
-  return { life: TargetIncarnations.formatIncarnation(target), zone: target.zone };
+  return { life: Incarnations.formatIncarnation(target), zone: target.zone };
 }
 
 export function createTargetLimits(options: TargetLimitsOptions): TargetLimits {
@@ -191,16 +191,14 @@
       return isOpen;
     },
     recordSend: (target) =>
-      limits.recordSend(TargetIncarnations.formatIncarnation(target), clock.getNowMs()),
+      limits.recordSend(Incarnations.formatIncarnation(target), clock.getNowMs()),
     async borrowPermit(targets) {
       for (const target of targets) if (await borrowOne(target)) return true;
       return false;
     },
     getRetrySeconds(targets) {
       const waitsMs = targets
-        .map((target) =>
-          limits.getWaitMs(TargetIncarnations.formatIncarnation(target), clock.getNowMs()),
-        )
+        .map((target) => limits.getWaitMs(Incarnations.formatIncarnation(target), clock.getNowMs()))
         .filter((waitMs) => waitMs !== undefined);
       const { least, most, unknown } = RETRY_SECONDS;
       const seconds = waitsMs.length === 0 ? unknown : Math.min(...waitsMs) / MS_PER_SECOND;
