--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
@@ -151,7 +151,7 @@
     expect(blocks.map(({ id }) => id)).toEqual(['1', '2']);
     const passed = Buffer.concat(blocks.map(({ bytes }) => bytes)).toString();
     expect(passed).toEqual('id: 1\ndata: ä\n\nversion: 2\nid: 2\ndata: b\n\n');
-    expect(splitter.hasRest()).toEqual(true);
+    expect(splitter.hasPartialEvent()).toEqual(true);
   });
 
   it('gives up an event that has no end', () => {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/copyCommands.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/copyCommands.test.ts
@@ -7,11 +7,11 @@
 import type { EngineCommand } from '../../targets/engineCalls';
 import * as Fakes from '../../__tests__/fakeDependencies';
 
-describe('an order about a copy', () => {
-  it('names the engine that it is meant for', async () => {
-    // Guards against a target that has the address of an engine which is gone and works on the order.
+describe('copy commands', () => {
+  it('carry the id of the engine that they are meant for', async () => {
+    // Guards against a target that runs the command because it has the address of a removed engine.
     const sent: EngineCommand[] = [];
-    const orders = CopyCommands.createCopyCommands(
+    const commands = CopyCommands.createCopyCommands(
       Kernel.createFakeWire(),
       async (_target, order) => {
         sent.push(order);
@@ -19,8 +19,8 @@
       },
     );
     const engine = Fakes.createTarget('a1');
-    await orders.createCopy(engine, 'r1', Fakes.createTarget('b1'));
-    await orders.releaseCopy(engine, 'h1');
+    await commands.createCopy(engine, 'r1', Fakes.createTarget('b1'));
+    await commands.releaseCopy(engine, 'h1');
     const named: EngineCommand['headers'] = [[Fakes.NAMES.expectedTarget, 'a1']];
     expect(sent.map(({ headers }) => headers)).toEqual([named, named]);
   });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/simulateStream.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/simulateStream.ts
@@ -1,4 +1,4 @@
-/** Plays streamed answers in virtual time. */
+/** Simulates streamed answers in virtual time. */
 import * as StreamAnswers from '../streamAnswer';
 import type { StreamOutcome } from '../streamPlan';
 import * as Fakes from '../../__tests__/fakeDependencies';
@@ -6,15 +6,18 @@
 
 export const END: Script[number][1] = { kind: 'end' };
 
-export interface Played {
+export interface SimulatedStream {
   readonly outcome: StreamOutcome | undefined;
   readonly text: string;
-  /** Longest time between two events, milliseconds. */
+  /** Longest time between two events. */
   readonly maxGapMs: number;
 }
 
 /** Runs one request to its end in virtual time. */
-export async function playStream(fake: FakeDependencies, limitMs = 30_000): Promise<Played> {
+export async function simulateStream(
+  fake: FakeDependencies,
+  limitMs = 30_000,
+): Promise<SimulatedStream> {
   const request = Fakes.createRequest(Fakes.createRoute());
   const answer = StreamAnswers.runStreamAnswer(fake.dependencies, request);
   const pieces: string[] = [];
@@ -47,7 +50,7 @@
     .join('');
 }
 
-/** Events of a whole run from one number on. */
+/** Script of a run with events `from` to `to`. */
 export function createRun(from: number, to: number): Script {
   const events = Fakes.createEvents(from, to, 30, 60);
   return [[50, Fakes.createHead(200)], ...events, [60 + (to - from) * 30 + 1, END]];
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamTiming.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamTiming.test.ts
@@ -11,16 +11,16 @@
   return timing.read();
 }
 
-describe('the timing of a stream', () => {
+describe('stream timing', () => {
   const route = Fakes.createRoute({ objectiveMs: 4_000, maxGapMs: 700 });
 
-  it('tells the first event, the longest pause and when that ended', () => {
+  it('measures the first event, the longest pause and its end', () => {
     const summary = readTiming(100, [1_100, 1_130, 1_900, 1_950]);
     expect(summary).toEqual({ firstEventMs: 1_000, longestPauseMs: 770, pauseEndedMs: 1_800 });
     expect(StreamTimings.isLate(summary, route)).toEqual(true);
   });
 
-  it('takes a stream inside its objectives for on time', () => {
+  it('reports a stream as late only beyond its objectives', () => {
     expect(StreamTimings.isLate(readTiming(0, [3_900, 4_500]), route)).toEqual(false);
     expect(StreamTimings.isLate(readTiming(0, [4_100]), route)).toEqual(true);
   });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/copyMonitor.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/copyMonitor.ts
@@ -1,10 +1,11 @@
 /**
- * Keeps a copy of a run's memory at a second engine for as long as the run lasts.
+ * Maintains a copy of a run's KV cache on a second engine while the run lasts.
  *
- * Failure: the engine that keeps the copy crashes, and some seconds later the one of the run does. The
- * stream then waits for its whole prompt to be read again, longer than any pause that is on time; where
- * zones crash in turn, half of the late streams come from that. So another copy is ordered as soon as the
- * keeper is known to be gone, and whenever a better place for it opens; the run goes on meanwhile.
+ * Failure: the holder of the copy crashes, and a few seconds later the engine of the run does. The
+ * stream then waits until its whole prompt is prefilled again, which takes longer than the
+ * objective for pauses; where zones crash in turn, this causes half of the late streams. So another
+ * copy is requested as soon as the holder is known to be lost, and whenever a better location
+ * becomes available, while the run continues.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type { ForwardingTarget } from '@sequoiarill/types';
@@ -16,32 +17,38 @@
 import type { ForwardingDependencies } from '../dependencies';
 
 export interface RunCopy {
-  readonly keeper: ForwardingTarget;
-  /** Where the copy lies, as it is told to the keeper: `IP:port/name`. */
-  readonly place: string;
+  readonly holder: ForwardingTarget;
+  /** Location of the copy, as it is sent to the holder that continues the run: `IP:port/name`. */
+  readonly location: string;
 }
 
 export interface CopyMonitor {
-  /** The copy that the next engine can go on from; undefined while there is none. */
+  /** The copy from which the next engine can continue; undefined while there is none. */
   readonly getCopy: () => RunCopy | undefined;
-  /** To be called now and then while the run lasts: orders another copy where the last one is gone. */
+  /**
+   * Must be called regularly while the run lasts; requests another copy when the last one is lost
+   * or due.
+   */
   readonly update: () => void;
-  /** The run has ended whole, and needs no copy any more. */
+  /** The run is complete and no longer needs a copy. */
   readonly release: () => void;
 }
 
-/** How often the keeper is looked after, milliseconds: well within the time between two crashes. */
-const UPDATE_MS = 200;
-/** Pause after an order that failed, milliseconds: a crashed engine is back after about twice that. */
-const FAILED_PAUSE_MS = 600;
-/** Copies moved to another keeper for one run; each takes the whole memory of the run. */
+/** How often the holder is checked: well within the time between two crashes. */
+const UPDATE_INTERVAL_MS = 200;
+/** Delay after a failed command: a crashed engine is back after about twice this. */
+const RETRY_DELAY_MS = 600;
+/** Moves of a run's copy to another holder; each transfers the whole KV cache of the run. */
 const MAX_MOVES = 4;
-interface KnownCopy extends RunCopy {
-  /** Undefined for the copy that grows with its run. */
-  readonly orderedAtMs: number | undefined;
+
+interface MonitoredCopy extends RunCopy {
+  /** Undefined for the backup, which grows with its run. */
+  readonly requestedAtMs: number | undefined;
 }
 
-/** `keeper` is told with the request itself, and gets the memory as it grows. */
+/**
+ * `holder` is sent to the engine with the request itself, and receives the KV cache as it grows.
+ */
 export function createCopyMonitor(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
@@ -49,77 +56,80 @@
   holder: ForwardingTarget | undefined,
 ): CopyMonitor {
   const { clock, directory } = dependencies;
-  let copy: KnownCopy | undefined =
+  let copy: MonitoredCopy | undefined =
     holder === undefined
       ? undefined
-      : { keeper: holder, place: `${holder.address}/${request.id}`, orderedAtMs: undefined };
-  let updatedMs = clock.getNowMs();
+      : { holder, location: `${holder.address}/${request.id}`, requestedAtMs: undefined };
+  let updatedAtMs = clock.getNowMs();
   let moves = 0;
-  let isOrdering = false;
+  let isPending = false;
   let isEnded = false;
   let handle: string | undefined;
 
-  function isSafe(known: KnownCopy): boolean {
-    const current = directory.findCurrent(known.keeper);
+  function isHolderAvailable(monitored: MonitoredCopy): boolean {
+    const current = directory.findCurrent(monitored.holder);
     if (current?.state !== 'ready' || dependencies.rollouts.isLeaving(current)) return false;
     return !dependencies.registry.isSuspect(current);
   }
 
-  function decideAction(known: KnownCopy): Decisions.CopyAction {
+  function decideAction(monitored: MonitoredCopy): Decisions.CopyAction {
     const service = directory.getConfiguration()?.services.get(request.service);
     return Decisions.decideCopyAction({
       runZone: engine.zone,
       routerZone: dependencies.zone,
-      keeperZone: known.keeper.zone,
-      isKeeperSafe: isSafe(known),
-      isHomeOpen: EnginePlacements.isHomeOpen(dependencies, request),
-      ageMs: known.orderedAtMs === undefined ? undefined : clock.getNowMs() - known.orderedAtMs,
+      keeperZone: monitored.holder.zone,
+      isKeeperSafe: isHolderAvailable(monitored),
+      isHomeOpen: EnginePlacements.isLocalEngineAvailable(dependencies, request),
+      ageMs:
+        monitored.requestedAtMs === undefined
+          ? undefined
+          : clock.getNowMs() - monitored.requestedAtMs,
       lifetimeMs: service?.engine?.copyLifetimeMs ?? Number.POSITIVE_INFINITY,
     });
   }
 
-  async function createNextCopy(known: KnownCopy, action: 'move' | 'renew'): Promise<void> {
-    const next =
+  async function createNextCopy(monitored: MonitoredCopy, action: 'move' | 'renew'): Promise<void> {
+    const nextHolder =
       action === 'renew'
-        ? known.keeper
-        : EnginePlacements.chooseBackup(dependencies, request, engine, known.keeper);
-    if (next === undefined) return;
+        ? monitored.holder
+        : EnginePlacements.chooseBackup(dependencies, request, engine, monitored.holder);
+    if (nextHolder === undefined) return;
     if (action === 'move') moves += 1;
-    const orderedAtMs = clock.getNowMs();
-    const made = await dependencies.createCopy(engine, request.id, next);
+    const requestedAtMs = clock.getNowMs();
+    const newHandle = await dependencies.createCopy(engine, request.id, nextHolder);
     dependencies.metrics.addCount(Metrics.COPIES, 1, {
-      outcome: made === undefined ? 'failed' : 'made',
+      outcome: newHandle === undefined ? 'failed' : 'made',
     });
     dependencies.log.logEvent(Events.STREAM_COPIED, {
       request: request.id,
       target: engine.id,
       action,
-      lastKeeper: known.keeper.id,
-      keeper: next.id,
-      isMade: made !== undefined,
+      lastKeeper: monitored.holder.id,
+      keeper: nextHolder.id,
+      isMade: newHandle !== undefined,
     });
-    if (made === undefined) {
-      updatedMs = clock.getNowMs() + FAILED_PAUSE_MS - UPDATE_MS;
+    if (newHandle === undefined) {
+      updatedAtMs = clock.getNowMs() + RETRY_DELAY_MS - UPDATE_INTERVAL_MS;
       return;
     }
-    handle = made;
-    copy = { keeper: next, place: `${engine.address}/${made}`, orderedAtMs };
-    if (isEnded) await dependencies.releaseCopy(engine, made);
+    handle = newHandle;
+    copy = { holder: nextHolder, location: `${engine.address}/${newHandle}`, requestedAtMs };
+    if (isEnded) await dependencies.releaseCopy(engine, newHandle);
   }
 
   return {
     getCopy: () => copy,
     update() {
       const nowMs = clock.getNowMs();
-      if (copy === undefined || isOrdering || nowMs - updatedMs < UPDATE_MS) return;
-      updatedMs = nowMs;
+      if (copy === undefined || isPending || nowMs - updatedAtMs < UPDATE_INTERVAL_MS) return;
+      updatedAtMs = nowMs;
       const action = decideAction(copy);
       if (action === 'keep' || (action === 'move' && moves >= MAX_MOVES)) return;
-      isOrdering = true;
+      isPending = true;
       createNextCopy(copy, action)
         .catch((error: unknown) => dependencies.log.logEvent(Events.ORDER_FAILED, { error }))
         .finally(() => {
-          isOrdering = false;
+          isPending = false;
         });
     },
     release() {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * The whole life of a streamed answer, straight down: choose a target, pass on its events, and after a
- * loss choose again and go on after the last whole event that was passed on.
+ * Runs a streamed answer from start to end: chooses a target, relays its events, and after a loss
+ * chooses another target and continues after the last complete event that was relayed.
  */
 import type { ForwardingTarget } from '@sequoiarill/types';
 
@@ -15,10 +15,10 @@
 import * as StreamRelays from './streamRelay';
 import type { StreamPiece } from './streamRelay';
 
-/** Pause before the next try when targets do not take the request, milliseconds. */
-const BUSY_PAUSE_MS = 40;
-/** Tries after which a refused connection is followed by a pause. */
-const FAST_TRIES = 3;
+/** Delay before the next try when targets do not accept the request. */
+const RETRY_DELAY_MS = 40;
+/** Tries after which a refused connection is followed by a delay. */
+const MAX_IMMEDIATE_TRIES = 3;
 
 export async function* runStreamAnswer(
   dependencies: ForwardingDependencies,
@@ -33,24 +33,25 @@
     if (plan.kind !== 'plan') return plan;
     progress.tries += 1;
     const outcome = yield* StreamRelays.relayAttempt(dependencies, request, plan, progress);
-    if (outcome.kind === 'notSent' && plan.isRepeat) budget.releaseRetry();
-    const end = decideAfter(dependencies, request, plan, progress, outcome);
+    if (outcome.kind === 'notSent' && plan.isRetry) budget.releaseRetry();
+    const end = decideNext(dependencies, request, plan, progress, outcome);
     if (end !== undefined) return end;
-    if (isPauseDue(plan, progress, outcome)) await clock.waitMs(BUSY_PAUSE_MS);
+    if (isDelayDue(plan, progress, outcome)) await clock.waitMs(RETRY_DELAY_MS);
   }
 }
 
 /**
- * Failure: all engines refuse connections for a moment, and a stream spends all its tries within some
- * milliseconds. The first few are worth being fast, since the next engine may be up; then time is.
+ * Failure: all engines refuse connections for a moment, and a stream uses up its tries within a few
+ * milliseconds. So the first tries follow at once, since the next engine may be up, and later ones
+ * wait.
  */
-function isPauseDue(plan: Plan, progress: Progress, outcome: AttemptOutcome): boolean {
+function isDelayDue(plan: Plan, progress: Progress, outcome: AttemptOutcome): boolean {
   if (outcome.kind === 'notRun') return plan.copy === undefined;
-  return outcome.kind === 'notSent' && progress.tries > FAST_TRIES;
+  return outcome.kind === 'notSent' && progress.tries > MAX_IMMEDIATE_TRIES;
 }
 
-/** Undefined: the stream goes on with another send. */
-function decideAfter(
+/** Undefined where the stream continues with another send. */
+function decideNext(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   plan: Plan,
@@ -65,7 +66,7 @@
   }
   updateProgress(dependencies, plan, progress, outcome);
   logContinued(dependencies, request, plan, progress);
-  return StreamPlans.isOpenEnded(request, progress)
+  return StreamPlans.hasTriesLeft(request, progress)
     ? undefined
     : StreamPlans.decideEnd(progress, progress.lastReason, false);
 }
@@ -78,12 +79,12 @@
 ): void {
   const { target, copy } = plan;
   progress.lastReason =
-    outcome.kind === 'handedOver' ? 'its target is to stop' : Sending.formatReason(outcome);
+    outcome.kind === 'handedOver' ? 'its target is about to stop' : Sending.formatReason(outcome);
   progress.lastTarget = target.id;
   progress.excluded.add(target.id);
   if (StreamRelays.hasRun(outcome)) progress.runs += 1;
   else if (copy !== undefined) progress.copy = undefined;
-  if (outcome.kind !== 'notSent') progress.arrivals += 1;
+  if (outcome.kind !== 'notSent') progress.deliveries += 1;
   if (outcome.kind !== 'handedOver') recordOutcome(dependencies, target, outcome);
   dependencies.metrics.addCount(Metrics.CONTINUED, 1, { cause: outcome.kind });
 }
@@ -113,7 +114,7 @@
     reason: progress.lastReason,
     lastEventId: progress.lastEventId,
     hadCopy: copy !== undefined,
-    copyAt: progress.copy?.keeper.id,
+    copyAt: progress.copy?.holder.id,
     afterMs: Math.round(dependencies.clock.getNowMs() - request.arrivedAtMs),
   });
 }
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -1,4 +1,4 @@
-/** One send of a request whose answer is a stream of events. */
+/** One attempt of a request whose answer is a stream of events. */
 import type { ForwardingTarget } from '@sequoiarill/types';
 
 import type { EventBlock } from './eventBlocks';
@@ -11,91 +11,95 @@
 import * as TargetCalls from '../targets/targetCall';
 import type { CallEvent, TargetCall } from '../targets/targetCall';
 
-/** What one attempt gives while it runs. */
-export interface StreamPart {
+/** Events that an attempt yields while it runs. */
+export interface EventBatch {
   readonly head: AnswerHead;
-  /** Whole events, at least one. */
+  /** Complete events, at least one. */
   readonly blocks: readonly EventBlock[];
 }
 
 export type AttemptOutcome =
   | SendOutcome
   | { readonly kind: 'complete'; readonly head: AnswerHead }
-  /** Its target is to stop, and a copy of the run is where it can go on. */
+  /** The target is about to stop, and the run can continue from a copy elsewhere. */
   | { readonly kind: 'handedOver' };
 
-export interface AttemptOrder {
+export interface AttemptOptions {
   readonly request: ForwardRequest;
   readonly target: ForwardingTarget;
   readonly extraHeaders: readonly RawHeader[];
-  /** A copy of the run's memory is kept elsewhere, so that a false alarm costs little. */
+  /** Whether another engine holds a copy of the KV cache, so that a false alarm costs little. */
   readonly hasCopy: () => boolean;
   /** Tokens that the target has to prefill before its first event. */
   readonly prefillTokens: number;
-  /** Prompts that the target reads first; undefined where it was not asked. */
+  /** Prompts that the target prefills before this one; undefined where it was not queried. */
   readonly promptsAhead: number | undefined;
 }
 
-const SUCCESS = 200;
-/** A stream with a copy elsewhere goes on there after this silence, also of a target that lives. */
-const MAX_GAP_MS = 450;
-/** Without a copy the prompt would be prefilled again: seconds, beside which waiting is cheap. */
-const NO_COPY_MS = 2_500;
-/** A first event may take so many times its limit while the target says that it lives. */
-const FIRST_EVENT_PATIENCE = 3;
-/** A target that lives answers a probe within some milliseconds. */
-const PROBE_WAIT_MS = 35;
+const STATUS_OK = 200;
+/** After this silence a stream continues from its copy, even if the target responds to probes. */
+const MAX_SILENCE_WITH_COPY_MS = 450;
 /**
- * Failure: an engine goes dark while it reads a prompt. Nothing is due from it for seconds, so its
- * caller waits them out and then for the whole prompt once more; its first event is late. So an engine
- * that owes a first event is asked whether it lives, so often in the time that the first event may take:
- * the loss is known early enough for another prompt, and most prompts are read within one or two checks,
- * which cost less than they save.
+ * Without a copy the prompt must be prefilled again, which takes seconds, so that waiting is
+ * cheaper.
+ */
+const MAX_SILENCE_WITHOUT_COPY_MS = 2_500;
+/** A first event may take this many times its timeout while the target responds to probes. */
+const FIRST_EVENT_TIMEOUT_FACTOR = 3;
+/** A live target responds to a probe within a few milliseconds. */
+const PROBE_TIMEOUT_MS = 35;
+/**
+ * Failure: an engine becomes unreachable while it prefills a prompt. No event is due for seconds,
+ * so the caller waits that long and then for the whole prefill on another engine; its first event
+ * is late. So the engine is probed this many times within the objective of the first event. The
+ * loss is then detected early enough to prefill elsewhere. Most prompts are prefilled within one or
+ * two checks, so these cost less than they save.
  */
 const CHECKS_PER_OBJECTIVE = 6;
-/** An answer to such a check may take this long, milliseconds, twice in a row. */
-const CHECK_WAIT_MS = 120;
+/** Timeout of such a check; the target counts as lost after `MAX_MISSED_CHECKS` in a row. */
+const CHECK_TIMEOUT_MS = 120;
 const MAX_MISSED_CHECKS = 2;
 /**
- * A request that crashes its target does so before its first event, or within this after it,
- * milliseconds.
+ * A request that crashes its target does so before its first event or within this time after it.
  */
-const SETTLED_MS = 300;
+const CRASH_WINDOW_MS = 300;
 
-/** Yields events as they become whole; ends with what the attempt came to. */
+/** Yields events as they are complete; returns the outcome of the attempt. */
 export async function* runStreamAttempt(
   dependencies: ForwardingDependencies,
-  order: AttemptOrder,
-): AsyncGenerator<StreamPart, AttemptOutcome, void> {
-  const { request, target } = order;
-  const call = dependencies.openCall(request, target, order.extraHeaders);
+  options: AttemptOptions,
+): AsyncGenerator<EventBatch, AttemptOutcome, void> {
+  const { request, target } = options;
+  const call = dependencies.openCall(request, target, options.extraHeaders);
   request.closed.addEventListener('abort', call.cancel, { once: true });
   const recordEnd = dependencies.registry.recordStart(target);
   try {
-    return yield* readStream(dependencies, order, call);
+    return yield* readStream(dependencies, options, call);
   } finally {
-    // Also when the reader of the generator has gone.
+    // Also runs when the consumer returns the generator early.
     call.cancel();
     recordEnd();
     request.closed.removeEventListener('abort', call.cancel);
   }
 }
 
-/** What one event of the call means for the attempt; undefined: nothing yet. */
-type Step = StreamPart | AttemptOutcome | undefined;
+/**
+ * What one event of the call means for the attempt; undefined when there is nothing to yield yet.
+ */
+type StepResult = EventBatch | AttemptOutcome | undefined;
 
 async function* readStream(
   dependencies: ForwardingDependencies,
-  order: AttemptOrder,
+  options: AttemptOptions,
   call: TargetCall,
-): AsyncGenerator<StreamPart, AttemptOutcome, void> {
-  const reader = createStreamReader(dependencies, order, call);
+): AsyncGenerator<EventBatch, AttemptOutcome, void> {
+  const reader = createStreamReader(dependencies, options, call);
   try {
     for (;;) {
       const step = await reader.readStep();
       if (step !== undefined) {
         if ('kind' in step) {
-          await recordBreak(dependencies, order, step, reader.hasSettled());
+          await recordBreak(dependencies, options, step, reader.isPastCrashWindow());
           return step;
         }
         yield step;
@@ -106,40 +110,40 @@
   }
 }
 
-/** A run that has made events for a while is not what a crash came from. */
+/** A run that has produced events for a while is not the cause of a crash. */
 async function recordBreak(
   { crashes }: ForwardingDependencies,
-  { request, target }: AttemptOrder,
+  { request, target }: AttemptOptions,
   outcome: AttemptOutcome,
-  hasSettled: boolean,
+  isPastCrashWindow: boolean,
 ): Promise<void> {
-  if (outcome.kind !== 'lost' || outcome.isSilence || hasSettled) return;
+  if (outcome.kind !== 'lost' || outcome.isSilence || isPastCrashWindow) return;
   await crashes.recordBreak(request, target);
 }
 
 function createStreamReader(
   dependencies: ForwardingDependencies,
-  order: AttemptOrder,
+  options: AttemptOptions,
   call: TargetCall,
 ) {
-  const { request, target } = order;
+  const { request, target } = options;
   const { clock } = dependencies;
   const policy = dependencies.getStallPolicy(request.service);
   const splitter = EventBlocks.createEventBlockSplitter();
-  const preference = order.hasCopy() ? 'copied' : 'resumeLatency';
-  const limits = policy.getLimits(target.id, preference, order.prefillTokens);
-  // What the engine owes is measured in running time; the caller's deadline is not.
-  const startedMs = clock.getRunningMs();
-  const checkMs = request.route.objectiveMs / CHECKS_PER_OBJECTIVE;
-  const firstEventDueMs = startedMs + limits.firstTokenMs;
-  let lastEventMs = startedMs;
-  let silenceDeadlineMs = Math.min(firstEventDueMs, startedMs + checkMs);
+  const preference = options.hasCopy() ? 'copied' : 'resumeLatency';
+  const timeouts = policy.getLimits(target.id, preference, options.prefillTokens);
+  // Timeouts of the engine are measured in running time; the caller's deadline is not.
+  const startedAtMs = clock.getRunningMs();
+  const checkIntervalMs = request.route.objectiveMs / CHECKS_PER_OBJECTIVE;
+  const firstEventDeadlineMs = startedAtMs + timeouts.firstTokenMs;
+  let lastEventAtMs = startedAtMs;
+  let silenceDeadlineMs = Math.min(firstEventDeadlineMs, startedAtMs + checkIntervalMs);
   let missedChecks = 0;
   let hasEvents = false;
-  let firstEventMs = Number.POSITIVE_INFINITY;
+  let firstEventAtMs = Number.POSITIVE_INFINITY;
   let head: AnswerHead | undefined;
   const { name: route, objectiveMs } = request.route;
-  const recordVersion = dependencies.rollouts.recordSend({ target, route, objectiveMs });
+  const recordResult = dependencies.rollouts.recordSend({ target, route, objectiveMs });
 
   function readNext(): Promise<CallEvent> {
     const { expiresAtMs } = request;
@@ -147,88 +151,96 @@
   }
 
   function recordFirstEvent(ms: number): void {
-    recordVersion('answered');
-    policy.recordFirstToken(target.id, ms, order.prefillTokens);
-    if (order.promptsAhead !== 0) return;
-    dependencies.getPromptEstimates(request.service).recordPrompt(order.prefillTokens, ms);
+    recordResult('answered');
+    policy.recordFirstToken(target.id, ms, options.prefillTokens);
+    if (options.promptsAhead !== 0) return;
+    dependencies.getPromptEstimates(request.service).recordPrompt(options.prefillTokens, ms);
   }
 
   function recordEvents(): void {
     const nowMs = clock.getRunningMs();
-    if (hasEvents) policy.recordGap(target.id, nowMs - lastEventMs);
+    if (hasEvents) policy.recordGap(target.id, nowMs - lastEventAtMs);
     else {
-      firstEventMs = nowMs;
-      recordFirstEvent(nowMs - startedMs);
+      firstEventAtMs = nowMs;
+      recordFirstEvent(nowMs - startedAtMs);
     }
     dependencies.registry.recordAlive(target);
     hasEvents = true;
-    lastEventMs = nowMs;
-    silenceDeadlineMs = nowMs + limits.gapMs;
+    lastEventAtMs = nowMs;
+    silenceDeadlineMs = nowMs + timeouts.gapMs;
   }
 
-  async function handleHead(answered: AnswerHead): Promise<Step> {
-    const failure = Sending.decideHead(dependencies, request, target, call, answered);
+  async function handleHead(responseHead: AnswerHead): Promise<StepResult> {
+    const failure = Sending.decideHead(dependencies, request, target, call, responseHead);
     if (failure !== undefined) return failure;
-    if (answered.status !== SUCCESS) {
-      recordVersion(Checks.isServerError(answered.status) ? 'failed' : 'unknown');
-      return Sending.readWhole(call, answered, readNext);
+    if (responseHead.status !== STATUS_OK) {
+      recordResult(Checks.isServerError(responseHead.status) ? 'failed' : 'unknown');
+      return Sending.readWhole(call, responseHead, readNext);
     }
-    head = answered;
+    head = responseHead;
     return undefined;
   }
 
-  function handleData(chunk: Buffer): Step {
+  function handleData(chunk: Buffer): StepResult {
     const blocks = splitter.addBytes(chunk);
-    if (blocks === undefined) return { kind: 'lost', reason: 'over-long event', isSilence: false };
+    if (blocks === undefined) return { kind: 'lost', reason: 'oversized event', isSilence: false };
     if (blocks.length === 0 || head === undefined) return undefined;
     recordEvents();
     return { head, blocks };
   }
 
-  function handleEnd(): Step {
-    if (head === undefined || splitter.hasRest()) {
-      return { kind: 'lost', reason: 'ended in an event', isSilence: false };
+  function handleEnd(): StepResult {
+    if (head === undefined || splitter.hasPartialEvent()) {
+      return { kind: 'lost', reason: 'ended within an event', isSilence: false };
     }
     return { kind: 'complete', head };
   }
 
   /**
-   * A silent engine that still has the run is busy: it is waited for as long as that can pay. One that
-   * answers without it has started again, and its old connections may stay silent for good.
+   * A silent engine that still reports the run is busy, and waiting for it is worthwhile up to a
+   * limit. One that no longer reports it has restarted, and its old connections may stay silent
+   * forever.
    */
   async function isWorthWaiting(): Promise<boolean> {
-    const patienceMs = hasEvents ? MAX_GAP_MS : limits.firstTokenMs * FIRST_EVENT_PATIENCE;
-    const waitsUntilMs = lastEventMs + (order.hasCopy() || !hasEvents ? patienceMs : NO_COPY_MS);
-    if (clock.getRunningMs() >= waitsUntilMs) return false;
-    const report = await dependencies.readReport(target, PROBE_WAIT_MS);
-    silenceDeadlineMs = waitsUntilMs;
+    const maxSilenceMs = hasEvents
+      ? MAX_SILENCE_WITH_COPY_MS
+      : timeouts.firstTokenMs * FIRST_EVENT_TIMEOUT_FACTOR;
+    const deadlineMs =
+      lastEventAtMs +
+      (options.hasCopy() || !hasEvents ? maxSilenceMs : MAX_SILENCE_WITHOUT_COPY_MS);
+    if (clock.getRunningMs() >= deadlineMs) return false;
+    const report = await dependencies.readReport(target, PROBE_TIMEOUT_MS);
+    silenceDeadlineMs = deadlineMs;
     if (report === undefined) return false;
     if (hasEvents) return report.runIds.includes(request.id) || report.queued > 0;
     return report.prefilling + report.queued > 0;
   }
 
-  /** Whether the engine that owes a first event answers, or may have missed one question by chance. */
-  async function checkLife(): Promise<boolean> {
-    const report = await dependencies.readReport(target, CHECK_WAIT_MS);
+  /**
+   * Whether an engine whose first event is outstanding responds, or has missed too few checks to be
+   * lost.
+   */
+  async function checkLiveness(): Promise<boolean> {
+    const report = await dependencies.readReport(target, CHECK_TIMEOUT_MS);
     missedChecks = report === undefined ? missedChecks + 1 : 0;
-    const nextCheckMs = clock.getRunningMs() + (missedChecks > 0 ? 0 : checkMs);
-    silenceDeadlineMs = Math.min(firstEventDueMs, nextCheckMs);
+    const nextCheckMs = clock.getRunningMs() + (missedChecks > 0 ? 0 : checkIntervalMs);
+    silenceDeadlineMs = Math.min(firstEventDeadlineMs, nextCheckMs);
     return missedChecks < MAX_MISSED_CHECKS;
   }
 
-  async function handleTimeout(): Promise<Step> {
+  async function handleTimeout(): Promise<StepResult> {
     if (clock.getNowMs() >= request.expiresAtMs) return { kind: 'expired' };
     const nowMs = clock.getRunningMs();
     if (!call.wasSent()) return { kind: 'notSent', reason: 'no connection in time' };
-    const isCheck = !hasEvents && nowMs < firstEventDueMs;
-    if (await (isCheck ? checkLife() : isWorthWaiting())) return undefined;
-    // It may have spoken while it was asked.
+    const isLivenessCheck = !hasEvents && nowMs < firstEventDeadlineMs;
+    if (await (isLivenessCheck ? checkLiveness() : isWorthWaiting())) return undefined;
+    // An event may have arrived during the probe.
     const event = await call.readEvent(0);
     if (event.kind !== 'timeout') return handleEvent(event);
     return { kind: 'lost', reason: 'silent', isSilence: true };
   }
 
-  async function handleEvent(event: CallEvent): Promise<Step> {
+  async function handleEvent(event: CallEvent): Promise<StepResult> {
     if (event.kind === 'head') return handleHead(event.head);
     if (event.kind === 'data') return handleData(event.chunk);
     if (event.kind === 'end') return handleEnd();
@@ -237,8 +249,8 @@
   }
 
   return {
-    readStep: async (): Promise<Step> => handleEvent(await readNext()),
-    hasSettled: () => clock.getRunningMs() - firstEventMs > SETTLED_MS,
-    close: () => recordVersion('unknown'),
+    readStep: async (): Promise<StepResult> => handleEvent(await readNext()),
+    isPastCrashWindow: () => clock.getRunningMs() - firstEventAtMs > CRASH_WINDOW_MS,
+    close: () => recordResult('unknown'),
   };
 }
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
@@ -1,4 +1,4 @@
-/** What is known of a streamed answer so far, and where it goes on. */
+/** Progress of a streamed answer, and the plan of its next send. */
 import type { FleetRetryBudget } from '@sequoiarill/decisions';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
@@ -9,39 +9,41 @@
 import type { ForwardingDependencies } from '../dependencies';
 import * as Placement from '../answers/placement';
 import * as RetryQuotas from '../retryQuota';
-import type { RunCopy } from './runCopies';
+import type { RunCopy } from './copyMonitor';
 
 export type StreamOutcome =
   | { readonly kind: 'complete'; readonly head: AnswerHead; readonly wasStarted: boolean }
-  /** Events were passed on, and no target can go on. */
+  /** Events were relayed, and no target can continue. */
   | { readonly kind: 'broken'; readonly reason: string; readonly lastTarget?: string }
   | ForwardOutcome;
 
-/** Sends besides those that the route allows, for targets that did not take the request. */
+/** Bounds all sends of a stream, including those that targets did not accept. */
 const MAX_TRIES = 12;
 const RETRY_AFTER_SECONDS = 0.5;
 const MS_PER_SECOND = 1_000;
-/** Repeats that are kept for streams in the middle: those that one crash of a zone may need. */
-const REPEATS_FOR_STREAMS = 2;
-/** The same as a share of what a router of a large fleet may repeat, which is little. */
+/** Retries reserved for streams that have begun: as many as the crash of one zone may require. */
+const RESERVED_RETRIES = 2;
+/**
+ * Limits the reservation to this share of the budget, which is small for a router of a large fleet.
+ */
 const RESERVE_SHARE = 0.2;
 
-/** What is known of the answer so far. */
+/** State of a streamed answer over all its attempts. */
 export interface Progress {
-  /** Of the last event that was passed on, or that the caller named. */
+  /** Id of the last event that was relayed, or that the caller sent with its request. */
   lastEventId: string | undefined;
   hasEvents: boolean;
-  /** Models of the target that made the first event; undefined before it. */
+  /** Models of the target that produced the first event; undefined before it. */
   models: string | undefined;
-  /** The caller's answer has an end of its own; undefined before its head. */
+  /** Whether the caller's answer has framing (a length or chunks); undefined before its head. */
   isFramed: boolean | undefined;
-  /** Targets that began to run it. */
+  /** Attempts in which a target may have begun to run the request. */
   runs: number;
   tries: number;
-  /** Sends that reached a target, also one that did not take the request. */
-  arrivals: number;
+  /** Sends that reached a target, including ones that it did not accept. */
+  deliveries: number;
   readonly excluded: Set<string>;
-  /** Of the memory of the last run. */
+  /** Copy of the last run's KV cache. */
   copy: RunCopy | undefined;
   lastReason: string;
   lastTarget: string | undefined;
@@ -50,14 +52,14 @@
 export interface Plan {
   readonly kind: 'plan';
   readonly target: ForwardingTarget;
-  /** Who is to keep a copy of this run's memory. */
+  /** Engine that is to hold a copy of this run's KV cache. */
   readonly backup: ForwardingTarget | undefined;
-  /** The copy that the run goes on from. */
+  /** The copy from which the run continues. */
   readonly copy: RunCopy | undefined;
-  /** Prompts that the target reads first, as far as it told. */
+  /** Prompts that the target prefills before this one; undefined where it was not queried. */
   readonly promptsAhead?: number;
-  /** Counts against the budget of repeats, unless it reaches nobody. */
-  readonly isRepeat: boolean;
+  /** Counts against the retry budget, unless it reaches no target. */
+  readonly isRetry: boolean;
 }
 
 export function createProgress(request: ForwardRequest): Progress {
@@ -68,7 +70,7 @@
     isFramed: undefined,
     runs: 0,
     tries: 0,
-    arrivals: 0,
+    deliveries: 0,
     excluded: new Set(),
     copy: undefined,
     lastReason: 'no target is known',
@@ -76,7 +78,7 @@
   };
 }
 
-/** The next send, or the end where none is possible. */
+/** The next send, or the final outcome where none is possible. */
 export async function decidePlan(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
@@ -90,28 +92,25 @@
   if (blockedMs > 0) return decideBlocked(progress, blockedMs);
   const plan =
     (await createPlan(dependencies, request, progress)) ??
-    (await createPlanByLoan(dependencies, request, progress));
+    (await createPlanWithBorrowedPermit(dependencies, request, progress));
   if (plan?.kind === 'refused') return plan;
   if (plan === undefined) return decideUnplaced(dependencies, request, progress);
-  const isRepeat = progress.arrivals > 0;
-  if (isRepeat && !(await takeRepeat(dependencies, request, progress, budget))) {
-    return decideEnd(progress, `${progress.lastReason}; no repeat left`, false);
+  const isRetry = progress.deliveries > 0;
+  if (isRetry && !(await takeRetry(dependencies, request, progress, budget))) {
+    return decideEnd(progress, `${progress.lastReason}; no retry left`, false);
   }
-  return { ...plan, isRepeat };
+  return { ...plan, isRetry };
 }
 
-/** A stream that its caller has begun to read goes before one that can still be refused. */
-async function takeRepeat(
+/** A stream whose caller has received events has priority over one that can still be refused. */
+async function takeRetry(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   { hasEvents }: Progress,
   budget: FleetRetryBudget,
 ): Promise<boolean> {
   const { clock } = dependencies;
-  const reserve = Math.min(
-    REPEATS_FOR_STREAMS,
-    budget.getCapacity(clock.getNowMs()) * RESERVE_SHARE,
-  );
+  const reserve = Math.min(RESERVED_RETRIES, budget.getCapacity(clock.getNowMs()) * RESERVE_SHARE);
   const needed = hasEvents ? 1 : 1 + reserve;
   const hasEnough = (): boolean => budget.getBalance(clock.getNowMs()) >= needed;
   if (!hasEnough()) await RetryQuotas.borrowRepeats(dependencies, request, budget, needed);
@@ -119,35 +118,35 @@
 }
 
 /**
- * Failure: the engine that keeps the copy has begun to drain, and the run would be new work for a VM
- * that is leaving, and be cut again. The prompt is read anew elsewhere instead.
+ * Failure: the holder of the copy has begun to drain. The run would be new work for a VM that is
+ * leaving, and would be interrupted again. So the prompt is prefilled elsewhere instead.
  */
-function findHolder(
+function findCopyHolder(
   dependencies: ForwardingDependencies,
   { copy }: Progress,
 ): ForwardingTarget | undefined {
-  const holder = copy === undefined ? undefined : dependencies.directory.findCurrent(copy.keeper);
+  const holder = copy === undefined ? undefined : dependencies.directory.findCurrent(copy.holder);
   if (holder?.state !== 'ready' || dependencies.rollouts.isLeaving(holder)) return undefined;
   if (!dependencies.limits.isOpen(holder)) return undefined;
   return holder;
 }
 
-/** A stream that has run, or that its caller has begun to read, is never refused for lack of time. */
-function decideFirst(
+/** A stream that has run, or whose caller has received events, is never refused for lateness. */
+function decideAdmission(
   { lastEventId }: ForwardRequest,
   { runs }: Progress,
-  { target, backup, promptsAhead, admission: door }: EnginePair,
-): Omit<Plan, 'isRepeat'> | Extract<StreamOutcome, { kind: 'refused' }> {
-  if (door.kind === 'refuse' && runs === 0 && lastEventId === undefined) {
-    const reason = 'its first event would be late at all engines asked';
-    const { retryAfterSeconds } = door;
+  { target, backup, promptsAhead, admission }: EnginePair,
+): Omit<Plan, 'isRetry'> | Extract<StreamOutcome, { kind: 'refused' }> {
+  if (admission.kind === 'refuse' && runs === 0 && lastEventId === undefined) {
+    const reason = 'its first event would be late at all engines that were queried';
+    const { retryAfterSeconds } = admission;
     return { kind: 'refused', reason, retryAfterSeconds, lastTarget: target.id };
   }
   return { kind: 'plan', target, backup, copy: undefined, promptsAhead };
 }
 
-/** Targets that would go on with other tokens than the caller has. */
-function listForeign(
+/** Ids of targets with other models, which would not continue the tokens that the caller has. */
+function listIncompatible(
   { directory }: ForwardingDependencies,
   { service }: ForwardRequest,
   { models }: Progress,
@@ -157,51 +156,56 @@
   return new Set(others.map(({ id }) => id));
 }
 
-/** A copy saves the whole prefill; without one the next target is chosen like the first. */
+/**
+ * Continuing from a copy saves the whole prefill; without one the next target is chosen like the
+ * first.
+ */
 async function createPlan(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   progress: Progress,
-): Promise<Omit<Plan, 'isRepeat'> | Extract<StreamOutcome, { kind: 'refused' }> | undefined> {
-  const foreign = listForeign(dependencies, request, progress);
-  const excluded = new Set([...progress.excluded, ...foreign]);
-  const holder = findHolder(dependencies, progress);
+): Promise<Omit<Plan, 'isRetry'> | Extract<StreamOutcome, { kind: 'refused' }> | undefined> {
+  const incompatible = listIncompatible(dependencies, request, progress);
+  const excluded = new Set([...progress.excluded, ...incompatible]);
+  const holder = findCopyHolder(dependencies, progress);
   if (holder !== undefined) {
     const backup = EnginePlacements.chooseBackup(dependencies, request, holder);
     return { kind: 'plan', target: holder, backup, copy: progress.copy };
   }
   if (request.route.hasPrompt) {
     const pair = await EnginePlacements.chooseEngines(dependencies, request, excluded);
-    if (pair !== undefined) return decideFirst(request, progress, pair);
+    if (pair !== undefined) return decideAdmission(request, progress, pair);
   }
   const purpose = progress.tries === 0 ? 'first' : 'continuation';
   const target =
     Placement.chooseTarget(dependencies, { request, excluded, purpose }) ??
-    Placement.chooseTarget(dependencies, { request, excluded: foreign, purpose });
+    Placement.chooseTarget(dependencies, { request, excluded: incompatible, purpose });
   if (target === undefined) return undefined;
-  if (request.route.hasPrompt) EnginePlacements.logUnasked(dependencies, request, target);
+  if (request.route.hasPrompt) EnginePlacements.logUnreportedTarget(dependencies, request, target);
   return { kind: 'plan', target, backup: undefined, copy: undefined };
 }
 
-/** Another router may have a permit left for a target that this one must not ask. */
-async function createPlanByLoan(
+/** Another router may have a permit left for a target at which this one has reached its limit. */
+async function createPlanWithBorrowedPermit(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   progress: Progress,
 ): ReturnType<typeof createPlan> {
   const limited = Placement.listLimited(dependencies, request, progress.excluded);
-  const isLent = await dependencies.limits.borrowPermit(limited);
-  return isLent ? createPlan(dependencies, request, progress) : undefined;
+  const isBorrowed = await dependencies.limits.borrowPermit(limited);
+  return isBorrowed ? createPlan(dependencies, request, progress) : undefined;
 }
 
 /** Whether the request may be sent once more. */
-export function isOpenEnded(request: ForwardRequest, progress: Progress): boolean {
-  const { retryPolicy: repeat, maxTargets } = request.route;
-  if (repeat === 'once') return progress.runs === 0 && progress.tries < MAX_TRIES;
+export function hasTriesLeft(request: ForwardRequest, progress: Progress): boolean {
+  const { retryPolicy, maxTargets } = request.route;
+  if (retryPolicy === 'once') return progress.runs === 0 && progress.tries < MAX_TRIES;
   return progress.runs < maxTargets && progress.tries < MAX_TRIES;
 }
 
-/** No target can be asked, some of them only since they take no more for now. */
+/**
+ * No target is available; where some are only at their rate limit, the outcome says when to retry.
+ */
 function decideUnplaced(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -1,10 +1,12 @@
-/** Passes on the events of one send, each event once, and looks after the copy of the run meanwhile. */
+/**
+ * Relays the events of one attempt, each exactly once, and monitors the copy of the run meanwhile.
+ */
 import * as Checks from '../answers/answerChecks';
 import type { EventBlock } from './eventBlocks';
 import type { AnswerHead, ForwardRequest } from '../forwardRequest';
 import type { RawHeader } from '../front/headers';
 import type { ForwardingDependencies } from '../dependencies';
-import * as RunCopies from './runCopies';
+import * as CopyMonitors from './copyMonitor';
 import * as StreamAttempts from './streamAttempt';
 import type { AttemptOutcome } from './streamAttempt';
 import type { Plan, Progress } from './streamPlan';
@@ -27,7 +29,7 @@
   const names = dependencies.wire.headers;
   const headers: RawHeader[] = [];
   if (plan.backup !== undefined) headers.push([names.backupTarget, plan.backup.address]);
-  if (plan.copy !== undefined) headers.push([names.continueFrom, plan.copy.place]);
+  if (plan.copy !== undefined) headers.push([names.continueFrom, plan.copy.location]);
   if (progress.lastEventId !== undefined) headers.push([names.lastEventId, progress.lastEventId]);
   return headers;
 }
@@ -38,43 +40,44 @@
   plan: Plan,
   progress: Progress,
 ): AsyncGenerator<StreamPiece, AttemptOutcome, void> {
-  const watch = RunCopies.createCopyMonitor(dependencies, request, plan.target, plan.backup);
+  const monitor = CopyMonitors.createCopyMonitor(dependencies, request, plan.target, plan.backup);
   const attempt = StreamAttempts.runStreamAttempt(dependencies, {
     request,
     target: plan.target,
     extraHeaders: createExtraHeaders(dependencies, request, plan, progress),
-    hasCopy: () => watch.getCopy() !== undefined,
+    hasCopy: () => monitor.getCopy() !== undefined,
     prefillTokens: plan.copy === undefined ? request.promptTokens : 0,
     promptsAhead: plan.promptsAhead,
   });
   /**
-   * Failure: an engine crashes while it reads a prompt. Its copy begins with the first event, so the keeper
-   * has nothing to go on from and refuses; each such send is a repeat that a stream in the middle may
-   * need a moment later.
+   * Failure: an engine crashes while it prefills a prompt. Its copy begins with the first event, so
+   * the holder has nothing to continue from and refuses. Each such send uses a retry that a stream
+   * which has begun may need a moment later.
    */
-  let hasMadeEvents = false;
+  let hasProducedEvents = false;
   try {
     for (;;) {
       const step = await attempt.next();
       if (step.done === true) {
         const outcome = decideFramedEnd(step.value, progress);
-        if (outcome.kind === 'complete') watch.release();
-        // A copy can be used once; a run that was lost kept one of its own, once it made events.
-        if (hasRun(outcome)) progress.copy = hasMadeEvents ? watch.getCopy() : undefined;
+        if (outcome.kind === 'complete') monitor.release();
+        // A copy can be used only once. A lost run has a copy of its own once it has produced
+        // events.
+        if (hasRun(outcome)) progress.copy = hasProducedEvents ? monitor.getCopy() : undefined;
         return outcome;
       }
       const { head, blocks } = step.value;
-      hasMadeEvents = true;
-      const fresh = selectNewBlocks(blocks, progress.lastEventId);
-      if (fresh === 'gap') return { kind: 'lost', reason: 'events are missing', isSilence: false };
-      watch.update();
-      if (fresh.length > 0) {
+      hasProducedEvents = true;
+      const newBlocks = selectNewBlocks(blocks, progress.lastEventId);
+      if (newBlocks === 'gap') return { kind: 'lost', reason: 'missing events', isSilence: false };
+      monitor.update();
+      if (newBlocks.length > 0) {
         if (!progress.hasEvents) yield { kind: 'head', head };
-        recordEvents(progress, plan, head, fresh);
-        yield { kind: 'events', bytes: mergeBlocks(fresh) };
+        recordEvents(progress, plan, head, newBlocks);
+        yield { kind: 'events', bytes: mergeBlocks(newBlocks) };
       }
-      if (isHandoverDue(dependencies, request, plan, progress, watch)) {
-        progress.copy = watch.getCopy();
+      if (isHandoverDue(dependencies, request, plan, progress, monitor)) {
+        progress.copy = monitor.getCopy();
         return { kind: 'handedOver' };
       }
     }
@@ -87,65 +90,67 @@
   progress: Progress,
   { target }: Plan,
   head: AnswerHead,
-  fresh: readonly EventBlock[],
+  newBlocks: readonly EventBlock[],
 ): void {
   progress.isFramed ??= !Checks.isUnframed(head);
   progress.hasEvents = true;
   progress.models ??= target.models;
-  progress.lastEventId = fresh.at(-1)?.id ?? progress.lastEventId;
+  progress.lastEventId = newBlocks.at(-1)?.id ?? progress.lastEventId;
 }
 
 /**
- * Failure: a service has moved to another version, the targets of the one before stop at once, and streams
- * there break off. So a stream leaves as soon as a copy of it is where it may stay, unless its next send
- * is one that the route or the retry budget no longer allows.
+ * Failure: a service has moved to another version, the targets of the previous one stop at once,
+ * and their streams are interrupted. So a stream is handed over as soon as a target that stays
+ * holds a copy of it, unless the route or the retry budget allows no further send.
  */
 function isHandoverDue(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   { target }: Plan,
   { runs }: Progress,
-  watch: RunCopies.CopyMonitor,
+  monitor: CopyMonitors.CopyMonitor,
 ): boolean {
   if (!dependencies.rollouts.isLeaving(target) || runs + 1 >= request.route.maxTargets) {
     return false;
   }
-  const copy = watch.getCopy();
-  const holder = copy === undefined ? undefined : dependencies.directory.findCurrent(copy.keeper);
+  const copy = monitor.getCopy();
+  const holder = copy === undefined ? undefined : dependencies.directory.findCurrent(copy.holder);
   if (holder?.state !== 'ready' || dependencies.rollouts.isLeaving(holder)) return false;
   return dependencies.getBudget(request.service).getBalance(dependencies.clock.getNowMs()) >= 1;
 }
 
 /**
- * Failure: a part without framing may end because its engine crashed, and the end of the caller's
- * answer would say that it is whole. So such a part does not end an answer that has framing.
+ * Failure: a response without framing may end because its engine crashed, and ending the caller's
+ * answer would mark it as complete. So such a response does not end an answer that has framing.
  */
 function decideFramedEnd(outcome: AttemptOutcome, progress: Progress): AttemptOutcome {
-  const isDoubtful =
+  const isEndUncertain =
     outcome.kind === 'complete' && progress.isFramed === true && Checks.isUnframed(outcome.head);
-  return isDoubtful ? { kind: 'lost', reason: 'end without framing', isSilence: false } : outcome;
+  return isEndUncertain
+    ? { kind: 'lost', reason: 'response ended without framing', isSilence: false }
+    : outcome;
 }
 
 /**
- * Failure: a target goes on too early or too late, and an event comes twice or is missing. Ids rise by
- * one, so events that were passed on are left out, and a hole is a loss.
+ * Failure: a target continues too early or too late, and an event is duplicated or missing. Ids
+ * increase by one, so events that were already relayed are dropped, and a gap is treated as a loss.
  */
 export function selectNewBlocks(
   blocks: readonly EventBlock[],
   lastEventId: string | undefined,
 ): readonly EventBlock[] | 'gap' {
   let last = lastEventId === undefined ? undefined : Number(lastEventId);
-  const fresh: EventBlock[] = [];
+  const newBlocks: EventBlock[] = [];
   for (const block of blocks) {
     const id = block.id === undefined ? undefined : Number(block.id);
-    const isKnown = id !== undefined && last !== undefined && id <= last;
-    if (!isKnown) {
+    const isDuplicate = id !== undefined && last !== undefined && id <= last;
+    if (!isDuplicate) {
       if (id !== undefined && last !== undefined && id > last + 1) return 'gap';
-      fresh.push(block);
+      newBlocks.push(block);
       last = id ?? last;
     }
   }
-  return fresh;
+  return newBlocks;
 }
 
 function mergeBlocks(blocks: readonly EventBlock[]): Buffer {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamTiming.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamTiming.ts
@@ -1,18 +1,18 @@
-/** How long a stream's caller waited for its first event and between two events. */
+/** Measures how long a stream's caller waited for the first event and between events. */
 import type { ForwardingRoute } from '@sequoiarill/types';
 
 export interface StreamTiming {
-  /** Some events are passed on to the caller. */
+  /** Records that events were relayed to the caller. */
   readonly recordEvents: (nowMs: number) => void;
   readonly read: () => TimingSummary;
 }
 
 /** Milliseconds. */
 export interface TimingSummary {
-  /** Undefined while no event was passed on. */
+  /** Undefined while no event was relayed. */
   readonly firstEventMs: number | undefined;
   readonly longestPauseMs: number;
-  /** After the request's arrival, the pause's end. */
+  /** End of the longest pause, measured from the request's arrival. */
   readonly pauseEndedMs: number;
 }
 
@@ -38,7 +38,7 @@
   };
 }
 
-/** Whether its caller had to wait for longer than the route's objectives. */
+/** Whether the caller waited longer than the route's objectives. */
 export function isLate(
   { firstEventMs, longestPauseMs }: TimingSummary,
   { objectiveMs, maxGapMs }: ForwardingRoute,
--- a/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/enginePlacements.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/enginePlacements.test.ts
@@ -11,8 +11,8 @@
   { id: 'own', tokens: 7_800 },
 ];
 
-/** Four engines in two zones of which one keeps the prompt; all answer after so long. */
-function createKeptPrompt(answerMs: number): FakeDependencies {
+/** Four engines in two zones, one with the prompt in its cache; all respond after `answerMs`. */
+function createFleetWithCachedPrompt(answerMs: number): FakeDependencies {
   const fake = Fakes.createFakeDependencies(() => []);
   const engines = ['a1', 'a2', 'b1', 'b2'].map((id) =>
     Fakes.createTarget(id, { zone: id.slice(0, 1) }),
@@ -27,69 +27,69 @@
   return fake;
 }
 
-/** Where a caller that comes back is sent, and when. */
-async function playReturn(fake: FakeDependencies) {
+/** Returns where and when a resumed stream is placed. */
+async function simulateResume(fake: FakeDependencies) {
   const request = {
     ...Fakes.createRequest(Fakes.createRoute()),
     promptParts: PARTS,
     lastEventId: '7',
   };
   let placedMs = Number.POSITIVE_INFINITY;
-  const placing = EnginePlacements.chooseEngines(fake.dependencies, request, new Set()).then(
+  const placement = EnginePlacements.chooseEngines(fake.dependencies, request, new Set()).then(
     (pair) => {
       placedMs = fake.clock.getNowMs();
       return pair?.target.id;
     },
   );
   await fake.clock.runFor(2_000);
-  return { target: await placing, placedMs };
+  return { target: await placement, placedMs };
 }
 
-describe('the placement of streams', () => {
-  it('finds the prompt of a caller that comes back at engines that answer late', async () => {
-    // Guards against a prompt that is read again elsewhere since its keeper took long to answer.
+describe('engine placement', () => {
+  it('finds the cached prompt of a resumed stream at engines that respond late', async () => {
+    // Guards against a prompt that is prefilled again elsewhere because its holder responded late.
     for (const answerMs of [0, 60, 120, 240]) {
-      const { target } = await playReturn(createKeptPrompt(answerMs));
+      const { target } = await simulateResume(createFleetWithCachedPrompt(answerMs));
       expect(target).toEqual('b2');
     }
   });
 
-  it('does not wait for silent engines once the prompt is found', async () => {
-    // Guards against callers that come back after a crash and wait for engines that are gone.
-    const fake = createKeptPrompt(1);
+  it('does not wait for silent engines once the cached prompt is found', async () => {
+    // Guards against resumed streams that wait for crashed engines.
+    const fake = createFleetWithCachedPrompt(1);
     fake.reports.delete('a1');
     fake.kept.delete('a1');
-    const { target, placedMs } = await playReturn(fake);
+    const { target, placedMs } = await simulateResume(fake);
     expect(target).toEqual('b2');
     expect(placedMs).toBeLessThanOrEqual(40);
   });
 
-  it('asks no longer than before where a caller is new', async () => {
-    // Guards against first events that wait for engines which are gone.
-    const fake = createKeptPrompt(1);
+  it('places a new stream within the usual timeout when an engine is silent', async () => {
+    // Guards against first events that are delayed by crashed engines.
+    const fake = createFleetWithCachedPrompt(1);
     fake.reports.delete('a1');
     const request = { ...Fakes.createRequest(Fakes.createRoute()), promptParts: PARTS };
     let placedMs = Number.POSITIVE_INFINITY;
-    const placing = EnginePlacements.chooseEngines(fake.dependencies, request, new Set()).then(
+    const placement = EnginePlacements.chooseEngines(fake.dependencies, request, new Set()).then(
       () => {
         placedMs = fake.clock.getNowMs();
       },
     );
     await fake.clock.runFor(2_000);
-    await placing;
+    await placement;
     expect(placedMs).toBeLessThanOrEqual(40);
   });
 
-  it('keeps two prompts apart that come to one router at the same moment', async () => {
-    // Two shoppers ask at once. The router reads the reports for both, finds the same engine idle, and
-    // places both there before either is sent: the second waits for the first one's whole prompt,
-    // while another idle engine has nothing to read.
+  it('places two simultaneous prompts on different engines', async () => {
+    // Two requests arrive at once. The router reads the reports for both, finds the same engine
+    // idle, and places both there before either is sent: the second waits for the whole prefill of
+    // the first, while another engine is idle.
     const fake = Fakes.createFakeDependencies(() => []);
     const engines = ['a1', 'a2', 'a3'].map((id) => Fakes.createTarget(id));
     fake.setTargets(engines);
     engines.forEach(({ id }) => fake.reports.set(id, Fakes.IDLE_REPORT));
     const route = Fakes.createRoute();
-    // Under one id both rank the engines alike.
+    // With the same id both requests rank the engines alike.
     const requests = [Fakes.createRequest(route), Fakes.createRequest(route)];
     const pairs = await Promise.all(
       requests.map((request) =>
@@ -100,9 +100,9 @@
     expect(new Set(targets).size).toEqual(2);
   });
 
-  it('counts a prompt once that was placed and then sent', () => {
-    // What was placed and what is sent are the same prompt; counted twice, the engine would look as if
-    // another prompt waited there, and be passed over for a busier one.
+  it('counts a prompt that was placed and then sent only once', () => {
+    // Placement and send are of the same prompt. If both were counted, the engine would seem to
+    // have another prompt queued, and a busier one would be chosen.
     const fake = Fakes.createFakeDependencies(() => []);
     const target = Fakes.createTarget('a1');
     const { registry } = fake.dependencies;
--- a/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/engineProbes.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/engineProbes.test.ts
@@ -12,11 +12,14 @@
 
 const LIMIT_MS = 100;
 
-/** Engines that answer reports, and health checks with the identity of the life that runs there. */
-function createConnections(idByAddress: ReadonlyMap<string, string>, asked: string[]) {
+/**
+ * Engines that respond to report requests, and to health checks with the id of the incarnation that
+ * runs there.
+ */
+function createConnections(idByAddress: ReadonlyMap<string, string>, requests: string[]) {
   function takeConnection(target: ForwardingTarget): TargetConnection {
     const dispatch: TargetConnection['dispatch'] = (options, handler) => {
-      asked.push(`${target.address}${options.path}`);
+      requests.push(`${target.address}${options.path}`);
       const id = idByAddress.get(target.address) ?? '';
       const controller = { paused: false, resume: () => undefined } as never;
       handler.onRequestStart?.(controller, undefined);
@@ -30,18 +33,23 @@
   return { takeConnection } as unknown as TargetConnections;
 }
 
-interface World {
-  readonly hasNews: boolean;
-  /** Who answers at the address of the target `known`. */
+interface ProbeScenario {
+  readonly isDirectoryUpToDate: boolean;
+  /** Id of the target that responds at the address of the target `known`. */
   readonly id: string;
   readonly report?: Partial<EngineReport>;
   readonly engineServices?: number;
 }
 
-async function playProbe({ hasNews, id, report = {}, engineServices = 1 }: World) {
+async function simulateProbe({
+  isDirectoryUpToDate: hasNews,
+  id,
+  report = {},
+  engineServices = 1,
+}: ProbeScenario) {
   const { dependencies } = Fakes.createFakeDependencies(() => []);
-  const asked: string[] = [];
-  const replaced: string[] = [];
+  const requests: string[] = [];
+  const replacements: string[] = [];
   const target = Fakes.createTarget('known');
   const configuration = dependencies.directory.getConfiguration() as ForwardingConfiguration;
   const engines = [...configuration.services.values()].filter(({ engine }) => engine !== undefined);
@@ -55,43 +63,53 @@
     registry: TargetRegistries.createTargetRegistry(clock.getNowMs),
     callEngine: EngineCalls.createEngineCaller(
       clock,
-      createConnections(new Map([[target.address, id]]), asked),
+      createConnections(new Map([[target.address, id]]), requests),
     ),
     directory: {
       getConfiguration: () => ({ ...configuration, services: new Map(services) }),
       isUpToDate: () => hasNews,
-      recordReplacement: (known, found) => replaced.push(`${known.id} ${found}`),
+      recordReplacement: (known, found) => replacements.push(`${known.id} ${found}`),
     },
   });
   const answer = await probes.readReport(target, LIMIT_MS);
-  return { answer, asked, replaced };
+  return { answer, requests, replacements };
 }
 
-describe('probes of engines', () => {
-  it('learns the next life of an engine while the store is away', async () => {
-    // The store is away, and an engine crashes and starts again under another id. Its entry cannot be
-    // read. A router that goes by the old one is refused there each time, and the engine idles.
-    const played = await playProbe({ hasNews: false, id: 'next' });
-    expect(played.answer).toEqual(undefined);
-    expect(played.replaced).toEqual(['known next']);
+describe('engine probes', () => {
+  it('detect a new incarnation of an engine while the store is unreachable', async () => {
+    // The store is unreachable, and an engine crashes and restarts under another id, whose entry
+    // cannot be read. With the old entry the router's requests are refused there each time, and the
+    // engine is idle.
+    const result = await simulateProbe({ isDirectoryUpToDate: false, id: 'next' });
+    expect(result.answer).toEqual(undefined);
+    expect(result.replacements).toEqual(['known next']);
   });
 
-  it('asks who answers only while nobody else can tell', async () => {
-    const played = await playProbe({ hasNews: true, id: 'known' });
-    expect(played.answer?.running).toEqual(0);
-    expect(played.asked.length).toEqual(1);
-    const doubtful = await playProbe({ hasNews: false, id: 'known' });
-    expect(doubtful.answer?.running).toEqual(0);
-    expect(doubtful.asked.length).toEqual(2);
-    expect(doubtful.replaced).toEqual([]);
+  it('verify the identity only while the directory is not up to date', async () => {
+    const result = await simulateProbe({ isDirectoryUpToDate: true, id: 'known' });
+    expect(result.answer?.running).toEqual(0);
+    expect(result.requests.length).toEqual(1);
+    const unverified = await simulateProbe({ isDirectoryUpToDate: false, id: 'known' });
+    expect(unverified.answer?.running).toEqual(0);
+    expect(unverified.requests.length).toEqual(2);
+    expect(unverified.replacements).toEqual([]);
   });
 
-  it('does not guess whose engine it met, nor takes one that leaves', async () => {
-    // Addresses are given to other services. With two services of engines the life that answers may
-    // be the other one's, and a request would run where no route leads.
-    const other = await playProbe({ hasNews: false, id: 'next', engineServices: 2 });
-    expect(other.replaced).toEqual([]);
-    const leaving = await playProbe({ hasNews: false, id: 'next', report: { isLeaving: true } });
-    expect(leaving.replaced).toEqual([]);
+  it('ignore another incarnation if its service is uncertain or it is leaving', async () => {
+    // Addresses are reassigned to other services. With two services of engines, the incarnation
+    // that responds may belong to the other one, and a request would run on a service it is not
+    // routed to.
+    const other = await simulateProbe({
+      isDirectoryUpToDate: false,
+      id: 'next',
+      engineServices: 2,
+    });
+    expect(other.replacements).toEqual([]);
+    const leaving = await simulateProbe({
+      isDirectoryUpToDate: false,
+      id: 'next',
+      report: { isLeaving: true },
+    });
+    expect(leaving.replacements).toEqual([]);
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/targetRegistry.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/targetRegistry.test.ts
@@ -6,10 +6,11 @@
 import * as TargetRegistries from '../targetRegistry';
 import * as Fakes from '../../__tests__/fakeDependencies';
 
-describe('the book of targets', () => {
-  it('keeps what it sent until a report can have counted it', async () => {
-    // A router sends a prompt to an idle engine and reads its report 100 ms later, which still says
-    // idle. Without what it sent itself it would send the next prompt there too.
+describe('target registry', () => {
+  it('counts its own sends until a report can include them', async () => {
+    // A router sends a prompt to an idle engine and reads its report 100 ms later, which still
+    // shows it as idle. If the router did not count its own send, it would send the next prompt
+    // there too.
     const clock = Kernel.createFakeClock();
     const registry = TargetRegistries.createTargetRegistry(clock.getNowMs);
     const target = Fakes.createTarget('a1');
--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineCalls.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineCalls.ts
@@ -1,4 +1,4 @@
-/** Calls of engines that are no caller's request: reports, lists, orders. */
+/** Sends the router's own requests to engines: load reports, cache listings, commands. */
 import type { Clock, ForwardingTarget } from '@sequoiarill/types';
 
 import type { AnswerHead } from '../forwardRequest';
@@ -14,16 +14,16 @@
   readonly limitMs: number;
 }
 
-export interface EngineAnswer {
+export interface EngineResponse {
   readonly head: AnswerHead;
   readonly text: string;
 }
 
-/** Undefined when there is no whole answer in time. */
+/** Undefined when there is no complete response in time. */
 export type EngineCaller = (
   target: ForwardingTarget,
-  order: EngineCommand,
-) => Promise<EngineAnswer | undefined>;
+  command: EngineCommand,
+) => Promise<EngineResponse | undefined>;
 
 export function createEngineCaller(
   clock: Pick<Clock, 'getNowMs' | 'getRunningMs'>,
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -1,4 +1,7 @@
-/** Finds the engine for a run, and the keeper of its copy, by asking a few of them. */
+/**
+ * Chooses the engine for a run and the holder of its KV cache copy from the status of a few sampled
+ * engines.
+ */
 import * as Decisions from '@sequoiarill/decisions';
 import type { LatencyAdmissionDecision, EngineView } from '@sequoiarill/decisions';
 import type { ForwardingTarget } from '@sequoiarill/types';
@@ -7,24 +10,27 @@
 import * as Placement from '../answers/placement';
 import type { ForwardRequest } from '../forwardRequest';
 import type { ForwardingDependencies } from '../dependencies';
-import * as EngineAnswers from './engineAnswers';
-import type { EngineAnswer } from './engineAnswers';
+import * as EngineStatuses from './engineStatuses';
+import type { EngineStatus } from './engineStatuses';
 
 export interface EnginePair {
-  /** Prompts that the target reads first. */
+  /** Prompts that the target prefills before this one. */
   readonly promptsAhead: number;
-  /** Whether a new stream is worth sending there. */
+  /** Whether a new stream should be admitted there. */
   readonly admission: LatencyAdmissionDecision;
   readonly target: ForwardingTarget;
   readonly backup: ForwardingTarget | undefined;
 }
 
-/** Keepers of a copy among which one is drawn unasked, so that not all copies of a crash meet. */
-const BACKUP_SAMPLE = 2;
 /**
- * After a crash of a zone most of the first round may be dead. Where the best one that answered is busy,
- * no others are asked: callers that come back from a router that was lost look for their prompt among
- * the first few.
+ * Engines among which the holder of a copy is drawn at random, without a query. With one candidate
+ * alone, all streams that move after a crash would copy to the same engine.
+ */
+const BACKUP_SAMPLE_SIZE = 2;
+/**
+ * After the crash of a zone most engines of the first sample may be down, so further samples are
+ * taken until one responds. A busy engine is no reason for another round: callers that resume a
+ * stream of a lost router look for their prompt among the engines of the first sample.
  */
 const MAX_ROUNDS = 3;
 
@@ -34,37 +40,44 @@
   excluded: ReadonlySet<string>,
 ): Promise<EnginePair | undefined> {
   dependencies.getPromptEstimates(request.service).recordRequest(request.promptTokens);
-  const ready = Placement.listOpen(dependencies, request);
-  const asked = new Set(excluded);
+  const available = Placement.listOpen(dependencies, request);
+  const queried = new Set(excluded);
   for (let round = 0; round < MAX_ROUNDS; round += 1) {
-    const sample = sampleEngines(dependencies, request, ready, asked);
-    sample.forEach(({ id }) => asked.add(id));
-    const answers = await EngineAnswers.readAnswers(dependencies, request, sample);
-    const views = answers.flatMap((answer) => addOwnSends(dependencies, answer));
-    const pair = pickPair(dependencies, request, views, ready);
+    const sample = sampleEngines(dependencies, request, available, queried);
+    sample.forEach(({ id }) => queried.add(id));
+    const statuses = await EngineStatuses.readStatuses(dependencies, request, sample);
+    const views = statuses.flatMap((status) => buildEngineViews(dependencies, status));
+    const pair = pickPair(dependencies, request, views, available);
     if (pair !== undefined) {
       if (pair.admission.kind === 'admit') dependencies.registry.recordPlacement(pair.target);
-      logPlaced(dependencies, request, { pair, views, answers, known: ready.length, round });
+      logPlacement(dependencies, request, {
+        pair,
+        views,
+        statuses,
+        known: available.length,
+        round,
+      });
       return pair;
     }
   }
   return undefined;
 }
 
-interface PlacedLine {
+interface PlacementLogEntry {
   readonly pair: EnginePair;
   readonly views: readonly EngineView[];
-  readonly answers: readonly EngineAnswer[];
+  readonly statuses: readonly EngineStatus[];
+  /** Engines that the sample was taken from. */
   readonly known: number;
   readonly round: number;
 }
 
-function logPlaced(
+function logPlacement(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
-  line: PlacedLine,
+  logEntry: PlacementLogEntry,
 ): void {
-  const { pair, views, answers, known, round } = line;
+  const { pair, views, statuses, known, round } = logEntry;
   const view = views.find(({ id }) => id === pair.target.id);
   dependencies.log.logEvent(Events.STREAM_PLACED, {
     request: request.id,
@@ -78,31 +91,33 @@
     sentSince: view?.sentSince,
     usedTokens: view?.usedTokens,
     keptTokens: view?.keptTokens,
-    asked: answers.length,
+    asked: statuses.length,
     answered: views.length,
-    candidates: answers.map(formatCandidate),
+    candidates: statuses.map(formatCandidate),
     known,
     round,
   });
 }
 
-function computeWholeMs(ms: number | undefined): number | undefined {
+function computeRoundedMs(ms: number | undefined): number | undefined {
   return ms === undefined ? undefined : Math.round(ms);
 }
 
-/** What an engine said, and after how many milliseconds. */
-function formatCandidate({ target, report, keptTokens, reportMs, keptMs }: EngineAnswer) {
+/** What an engine reported, and after how many milliseconds. */
+function formatCandidate({ target, report, cachedTokens, reportMs, cachedPartsMs }: EngineStatus) {
   return {
     target: target.id,
     running: report?.running,
-    keptTokens,
-    reportMs: computeWholeMs(reportMs),
-    keptMs: computeWholeMs(keptMs),
+    keptTokens: cachedTokens,
+    reportMs: computeRoundedMs(reportMs),
+    keptMs: computeRoundedMs(cachedPartsMs),
   };
 }
 
-/** The same line where no engine that was asked has answered, and one was chosen all the same. */
-export function logUnasked(
+/**
+ * Logs a placement where no sampled engine responded, so the target was chosen without a status.
+ */
+export function logUnreportedTarget(
   { log }: ForwardingDependencies,
   { id, contentKey }: ForwardRequest,
   target: ForwardingTarget,
@@ -117,46 +132,51 @@
 }
 
 /**
- * Who is to keep the copy of a run that goes on at once, so that nobody is asked first; `lost` is the
- * keeper that is gone.
+ * Chooses the holder of the next copy without querying engines, since the run continues at once.
+ * `lostHolder` is the previous holder, which is excluded.
  */
 export function chooseBackup(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   target: ForwardingTarget,
-  lost?: ForwardingTarget,
+  lostHolder?: ForwardingTarget,
 ): ForwardingTarget | undefined {
   if (!hasBackups(dependencies, request)) return undefined;
-  const others = listHolders(dependencies, request, target).filter(
-    ({ id }) => id !== target.id && id !== lost?.id,
+  const others = listBackupCandidates(dependencies, request, target).filter(
+    ({ id }) => id !== target.id && id !== lostHolder?.id,
   );
-  const trusted = others.filter((other) => !dependencies.registry.isSuspect(other));
-  const pool = Decisions.selectCopyHolders(trusted, target.zone, dependencies.zone);
-  // One of those that are asked for the prompt, so that a caller that comes back finds the copy's run.
+  const unsuspected = others.filter((other) => !dependencies.registry.isSuspect(other));
+  const pool = Decisions.selectCopyHolders(unsuspected, target.zone, dependencies.zone);
+  // An engine of the prompt's sample, so that a caller that resumes the stream finds the copy.
   const [first, second] = Decisions.selectCandidates(
     pool,
     getPromptKey(request),
-    () => BACKUP_SAMPLE,
+    () => BACKUP_SAMPLE_SIZE,
   );
   return dependencies.nextRandom() < 0.5 ? (second ?? first) : first;
 }
 
-/** Whether some engine of this router's zone could keep a copy now. */
-export function isHomeOpen(dependencies: ForwardingDependencies, request: ForwardRequest): boolean {
+/** Whether some engine of the local zone could hold a copy now. */
+export function isLocalEngineAvailable(
+  dependencies: ForwardingDependencies,
+  request: ForwardRequest,
+): boolean {
   return Placement.listOpen(dependencies, request).some(
     (engine) => engine.zone === dependencies.zone && !dependencies.registry.isSuspect(engine),
   );
 }
 
-/** A run goes on only where the same models are loaded: other ones would go on with other tokens. */
-function listHolders(
+/** A run can continue only where the same models are loaded: others would generate other tokens. */
+function listBackupCandidates(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   { models }: ForwardingTarget,
 ): readonly ForwardingTarget[] {
-  const open = Placement.listOpen(dependencies, request).filter((other) => other.models === models);
-  if (open.length > 1) return open;
-  // A version on probation may have one target for new work; the others can keep copies.
+  const available = Placement.listOpen(dependencies, request).filter(
+    (other) => other.models === models,
+  );
+  if (available.length > 1) return available;
+  // A canary version may have a single target open to new work; its other targets can hold copies.
   const all = dependencies.directory.listTargets(request.service);
   return Decisions.selectAvailable(all, dependencies.registry.isSuspect).filter(
     (other) => other.models === models && !dependencies.rollouts.isLeaving(other),
@@ -168,45 +188,48 @@
   return service?.engine?.hasBackups === true && request.route.retryPolicy === 'resumable';
 }
 
-/** Some of each zone; those under suspicion only where nobody else is left. */
+/** Samples some engines of each zone; suspected ones only where no others are left. */
 function sampleEngines(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
-  ready: readonly ForwardingTarget[],
-  asked: ReadonlySet<string>,
+  available: readonly ForwardingTarget[],
+  queried: ReadonlySet<string>,
 ): readonly ForwardingTarget[] {
-  const fresh = ready.filter(({ id }) => !asked.has(id));
-  const trusted = fresh.filter((target) => !dependencies.registry.isSuspect(target));
-  const pool = trusted.length > 0 ? trusted : fresh;
+  const unqueried = available.filter(({ id }) => !queried.has(id));
+  const unsuspected = unqueried.filter((target) => !dependencies.registry.isSuspect(target));
+  const pool = unsuspected.length > 0 ? unsuspected : unqueried;
   const zones = new Set(pool.map(({ zone }) => zone)).size;
   return Decisions.selectCandidates(pool, getPromptKey(request), (zone) =>
     Decisions.computeZoneSample(zone === dependencies.zone, zones),
   );
 }
 
-/** The last part is the caller's own, and the same when it comes back under another request id. */
+/**
+ * The last part is specific to the caller, and the same when it resumes under another request id.
+ */
 function getPromptKey({ id, promptParts }: ForwardRequest): string {
   return promptParts.at(-1)?.id ?? id;
 }
 
 /**
- * None where it did not answer, or is leaving. To be called when all have answered: this router may have sent
- * there while it waited for others.
+ * Adds this router's own sends to an engine's report; empty where there is no report, or the engine
+ * is leaving. Must be called after all responses: the router may have sent requests there in the
+ * meantime.
  */
-function addOwnSends(
+function buildEngineViews(
   { registry }: ForwardingDependencies,
-  { target, report, keptTokens = 0 }: EngineAnswer,
+  { target, report, cachedTokens = 0 }: EngineStatus,
 ): readonly EngineView[] {
   if (report === undefined || report.isLeaving) return [];
   const { sentSinceReport: sentSince } = registry.buildView(target);
-  return [{ ...report, id: target.id, zone: target.zone, sentSince, keptTokens }];
+  return [{ ...report, id: target.id, zone: target.zone, sentSince, keptTokens: cachedTokens }];
 }
 
 function pickPair(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   views: readonly EngineView[],
-  ready: readonly ForwardingTarget[],
+  available: readonly ForwardingTarget[],
 ): EnginePair | undefined {
   const { promptTokens } = request;
   const estimates = dependencies.getPromptEstimates(request.service);
@@ -217,10 +240,10 @@
     usualPromptTokens: estimates.getUsualTokens(),
     prefillMsPerToken: estimates.getMsPerToken(),
   });
-  const target = ready.find(({ id }) => id === placement?.target);
+  const target = available.find(({ id }) => id === placement?.target);
   if (placement === undefined || target === undefined) return undefined;
   const backup = hasBackups(dependencies, request)
-    ? ready.find(({ id }) => id === placement.backup)
+    ? available.find(({ id }) => id === placement.backup)
     : undefined;
   const { promptsAhead, firstEventMs } = placement;
   const { objectiveMs } = request.route;
--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineProbes.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineProbes.ts
@@ -1,4 +1,4 @@
-/** Asks engines for their load, which also tells that they live. */
+/** Probes engines for their load, which is also liveness evidence. */
 import * as Kernel from '@sequoiarill/kernel';
 import type {
   Clock,
@@ -14,12 +14,12 @@
 import type { TargetRegistry } from './targetRegistry';
 
 export interface EngineProbes {
-  /** Undefined when the engine does not answer in time. Several askers share one call. */
+  /** Undefined when there is no response in time. Concurrent reads of one engine share a call. */
   readonly readReport: (
     target: ForwardingTarget,
     limitMs: number,
   ) => Promise<EngineReport | undefined>;
-  /** Parts of prompts that the engine keeps; undefined when it does not tell in time. */
+  /** Prompt parts in the engine's KV cache; undefined when there is no response in time. */
   readonly readCachedParts: (
     target: ForwardingTarget,
     limitMs: number,
@@ -35,15 +35,17 @@
   readonly directory: Pick<Directory, 'getConfiguration' | 'isUpToDate' | 'recordReplacement'>;
 }
 
-/** An engine that has not answered by then counts as lost, milliseconds; most answer within five. */
-const PROBE_LIMIT_MS = 250;
-/** A report this young is as good as a new one, milliseconds: engines count every hundred. */
-const FRESH_MS = 40;
-/** While the store is away an identity is asked for anew after this, milliseconds: a restart takes longer. */
-const PROOF_LIFE_MS = 1_000;
+/** An engine without a response by then counts as lost; most respond within 5 ms. */
+const PROBE_TIMEOUT_MS = 250;
+/** A report of this age is as good as a new one: engines update their counts every 100 ms. */
+const REPORT_TTL_MS = 40;
+/**
+ * While the store is unreachable, an identity is verified again after this; a restart takes longer.
+ */
+const IDENTITY_TTL_MS = 1_000;
 const OK = 200;
 
-interface Fresh {
+interface RecentReport {
   readonly target: ForwardingTarget;
   readonly report: EngineReport;
   readonly atMs: number;
@@ -52,35 +54,36 @@
 export function createEngineProbes(options: EngineProbesOptions): EngineProbes {
   const { wire, clock, registry, callEngine, directory } = options;
   const inProgress = new Map<string, Promise<EngineReport | undefined>>();
-  const freshByTarget = new Map<string, Fresh>();
+  const recentReports = new Map<string, RecentReport>();
 
-  function readPath(target: ForwardingTarget, path: string, limitMs = PROBE_LIMIT_MS) {
+  function readPath(target: ForwardingTarget, path: string, limitMs = PROBE_TIMEOUT_MS) {
     return callEngine(target, { method: 'GET', path, limitMs });
   }
 
-  function isDoubtful(target: ForwardingTarget): boolean {
+  function isIdentityUncertain(target: ForwardingTarget): boolean {
     if (registry.isUnverified(target)) return true;
     if (directory.isUpToDate()) return false;
-    const provedAtMs = registry.getVerifiedAtMs(target);
-    return provedAtMs === undefined || clock.getNowMs() - provedAtMs > PROOF_LIFE_MS;
+    const verifiedAtMs = registry.getVerifiedAtMs(target);
+    return verifiedAtMs === undefined || clock.getNowMs() - verifiedAtMs > IDENTITY_TTL_MS;
   }
 
   async function readIdentity(target: ForwardingTarget): Promise<string | undefined> {
     const service = directory.getConfiguration()?.services.get(target.service);
-    const answer = await readPath(target, service?.healthPath ?? '/');
-    if (answer === undefined) return undefined;
-    return Checks.getHeader(answer.head, wire.headers.targetId);
+    const response = await readPath(target, service?.healthPath ?? '/');
+    if (response === undefined) return undefined;
+    return Checks.getHeader(response.head, wire.headers.targetId);
   }
 
   /**
-   * Who answers at the target's address; undefined when nobody does.
+   * Id of the target that responds at the address; undefined when none does.
    *
-   * Failure: an engine crashes and starts again as another life, and the directory does not know yet.
-   * It answers reports like the one before, and refuses what is meant for that one: each such request
-   * is a repeat, and after the crash of a zone they use up what repeats there are.
+   * Failure: an engine crashes and restarts as another incarnation, which the directory has not
+   * recorded yet. The new incarnation returns reports as before but refuses requests addressed to
+   * the old one. Each refused request costs a retry, and after the crash of a zone these use up the
+   * retry budget.
    */
-  async function findLife(target: ForwardingTarget): Promise<string | undefined> {
-    if (!isDoubtful(target)) return target.id;
+  async function findCurrentId(target: ForwardingTarget): Promise<string | undefined> {
+    if (!isIdentityUncertain(target)) return target.id;
     const id = await readIdentity(target);
     if (id === target.id) registry.recordVerified(target);
     else if (id !== undefined) registry.recordReplacement(target);
@@ -88,8 +91,8 @@
   }
 
   /**
-   * An address can be given to another service, so a life that is met there counts as the same service
-   * only if it reports like an engine and one service alone has engines.
+   * An address can be reassigned to another service. So the new incarnation counts as a target of
+   * the same service only if it reports load like an engine and a single service has engines.
    */
   function reportReplacement(target: ForwardingTarget, id: string): void {
     if (directory.isUpToDate()) return;
@@ -98,10 +101,13 @@
     directory.recordReplacement(target, id);
   }
 
-  async function readOnce(target: ForwardingTarget): Promise<EngineReport | undefined> {
-    const [answer, id] = await Promise.all([readPath(target, wire.reportPath), findLife(target)]);
-    if (answer === undefined) registry.recordLoss(target);
-    const report = answer?.head.status === OK ? wire.decodeReport(answer.text) : undefined;
+  async function readVerifiedReport(target: ForwardingTarget): Promise<EngineReport | undefined> {
+    const [response, id] = await Promise.all([
+      readPath(target, wire.reportPath),
+      findCurrentId(target),
+    ]);
+    if (response === undefined) registry.recordLoss(target);
+    const report = response?.head.status === OK ? wire.decodeReport(response.text) : undefined;
     if (id === target.id) return report;
     const isUsable = report !== undefined && !report.isLeaving;
     if (isUsable && id !== undefined) reportReplacement(target, id);
@@ -109,46 +115,46 @@
   }
 
   async function runProbe(target: ForwardingTarget): Promise<EngineReport | undefined> {
-    const report = await readOnce(target);
+    const report = await readVerifiedReport(target);
     inProgress.delete(target.id);
     if (report === undefined) {
-      freshByTarget.delete(target.id);
+      recentReports.delete(target.id);
       return undefined;
     }
     registry.recordReport(target, report);
     registry.recordAlive(target);
-    freshByTarget.set(target.id, { target, report, atMs: clock.getNowMs() });
+    recentReports.set(target.id, { target, report, atMs: clock.getNowMs() });
     return report;
   }
 
   function startProbe(target: ForwardingTarget): Promise<EngineReport | undefined> {
-    const known = inProgress.get(target.id);
-    if (known !== undefined) return known;
-    const started = runProbe(target);
-    inProgress.set(target.id, started);
-    return started;
+    const pending = inProgress.get(target.id);
+    if (pending !== undefined) return pending;
+    const probe = runProbe(target);
+    inProgress.set(target.id, probe);
+    return probe;
   }
 
   return {
     async readReport(target, limitMs) {
-      const fresh = freshByTarget.get(target.id);
-      if (fresh !== undefined && clock.getNowMs() - fresh.atMs <= FRESH_MS) return fresh.report;
+      const last = recentReports.get(target.id);
+      if (last !== undefined && clock.getNowMs() - last.atMs <= REPORT_TTL_MS) return last.report;
       let stopTimer: (() => void) | undefined;
-      const late = new Promise<undefined>((resolve) => {
-        const giveUp = () => resolve(undefined);
-        stopTimer = Kernel.startRunningTimer(clock.getRunningMs, limitMs, giveUp);
+      const timeout = new Promise<undefined>((resolve) => {
+        const resolveTimeout = () => resolve(undefined);
+        stopTimer = Kernel.startRunningTimer(clock.getRunningMs, limitMs, resolveTimeout);
       });
-      const report = await Promise.race([startProbe(target), late]);
+      const report = await Promise.race([startProbe(target), timeout]);
       stopTimer?.();
       return report;
     },
     async readCachedParts(target, limitMs) {
-      const answer = await readPath(target, wire.cachedPartsPath, limitMs);
-      return answer?.head.status === OK ? wire.decodeCachedParts(answer.text) : undefined;
+      const response = await readPath(target, wire.cachedPartsPath, limitMs);
+      return response?.head.status === OK ? wire.decodeCachedParts(response.text) : undefined;
     },
     removeMissing(isCurrent) {
-      for (const [id, { target }] of freshByTarget) {
-        if (!isCurrent(target)) freshByTarget.delete(id);
+      for (const [id, { target }] of recentReports) {
+        if (!isCurrent(target)) recentReports.delete(id);
       }
     },
   };
--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineStatuses.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineStatuses.ts
@@ -1,35 +1,41 @@
-/** Asks engines for their load and, for a caller that comes back, for the prompts that they keep. */
+/**
+ * Queries engines for their load and, for a caller that resumes a stream, for their cached prompts.
+ */
 import * as Decisions from '@sequoiarill/decisions';
 import type { EngineReport, ForwardingTarget, PromptPart } from '@sequoiarill/types';
 
 import type { ForwardRequest } from '../forwardRequest';
 import type { ForwardingDependencies } from '../dependencies';
 
-/** What one engine said when it was asked. */
-export interface EngineAnswer {
+/** What one engine reported when it was queried. */
+export interface EngineStatus {
   readonly target: ForwardingTarget;
-  /** Undefined where it did not answer in time. */
+  /** Undefined where no response came in time. */
   readonly report: EngineReport | undefined;
-  /** Tokens of the prompt; undefined where it was not asked, or did not tell in time. */
-  readonly keptTokens: number | undefined;
-  /** Milliseconds that each answer took; undefined where there was none. */
+  /**
+   * Tokens of the prompt in its KV cache; undefined where this was not queried, or no response came
+   * in time.
+   */
+  readonly cachedTokens: number | undefined;
+  /** Milliseconds until each response; undefined where there was none. */
   readonly reportMs: number | undefined;
-  readonly keptMs: number | undefined;
+  readonly cachedPartsMs: number | undefined;
 }
 
-type Asked = { -readonly [Field in keyof EngineAnswer]: EngineAnswer[Field] };
+type PendingStatus = { -readonly [Field in keyof EngineStatus]: EngineStatus[Field] };
 
-/** Answers within a zone take a millisecond, between zones some. */
-const ANSWER_LIMIT_MS = 40;
+/** Responses within a zone take about a millisecond, between zones a few. */
+const STATUS_TIMEOUT_MS = 40;
 /**
- * Failure: engines or this router are short of processor time, as after the crash of a zone, and answer in
- * sixty milliseconds. A caller that comes back is sent elsewhere, and its prompt is read again for a second
- * or more while other prompts wait behind it. So it is worth a longer wait, until its prompt is found.
+ * Failure: after the crash of a zone, engines or this router are short of processor time, and
+ * responses take 60 ms. A resumed stream is then sent to an engine without its prompt, where
+ * prefilling it again takes a second or more and delays other prompts. So a resumed stream waits
+ * longer, until an engine with its prompt is found.
  */
-const REST_LIMIT_MS = 250;
+const RESUME_STATUS_TIMEOUT_MS = 250;
 
-/** Only a caller that comes back for the rest of a stream can have a prompt kept anywhere. */
-function isAskedForRest({ lastEventId, promptParts }: ForwardRequest): boolean {
+/** Only the prompt of a resumed stream can be cached as a whole. */
+function isResumeWithPrompt({ lastEventId, promptParts }: ForwardRequest): boolean {
   return lastEventId !== undefined && promptParts.length > 0;
 }
 
@@ -37,56 +43,59 @@
   return promptParts.reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
-/** Ends when all have answered or their time is up, for a prompt that was found after the usual time. */
-export async function readAnswers(
+/**
+ * Returns when all engines have responded or timed out. A resumed stream returns earlier, once its
+ * prompt is found and the usual timeout has passed.
+ */
+export async function readStatuses(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   sample: readonly ForwardingTarget[],
-): Promise<readonly EngineAnswer[]> {
+): Promise<readonly EngineStatus[]> {
   const { clock } = dependencies;
   const { promptParts } = request;
-  const isRest = isAskedForRest(request);
-  const limitMs = isRest ? REST_LIMIT_MS : ANSWER_LIMIT_MS;
+  const isResume = isResumeWithPrompt(request);
+  const timeoutMs = isResume ? RESUME_STATUS_TIMEOUT_MS : STATUS_TIMEOUT_MS;
   const startedMs = clock.getNowMs();
-  const answers = sample.map((target): Asked => ({
+  const statuses = sample.map((target): PendingStatus => ({
     target,
     report: undefined,
-    keptTokens: undefined,
+    cachedTokens: undefined,
     reportMs: undefined,
-    keptMs: undefined,
+    cachedPartsMs: undefined,
   }));
 
-  async function readLoad(answer: Asked): Promise<void> {
-    answer.report = await dependencies.readReport(answer.target, limitMs);
-    if (answer.report !== undefined) answer.reportMs = clock.getNowMs() - startedMs;
+  async function readLoad(status: PendingStatus): Promise<void> {
+    status.report = await dependencies.readReport(status.target, timeoutMs);
+    if (status.report !== undefined) status.reportMs = clock.getNowMs() - startedMs;
   }
 
-  async function readKept(answer: Asked): Promise<void> {
-    const kept = await dependencies.readCachedParts(answer.target, limitMs);
-    if (kept === undefined) return;
-    answer.keptTokens = Decisions.computeCachedTokens(promptParts, kept);
-    answer.keptMs = clock.getNowMs() - startedMs;
+  async function readCachedTokens(status: PendingStatus): Promise<void> {
+    const cachedParts = await dependencies.readCachedParts(status.target, timeoutMs);
+    if (cachedParts === undefined) return;
+    status.cachedTokens = Decisions.computeCachedTokens(promptParts, cachedParts);
+    status.cachedPartsMs = clock.getNowMs() - startedMs;
   }
 
-  function isKeeper({ report, keptTokens }: Asked): boolean {
-    return report?.isLeaving === false && keptTokens === countTokens(promptParts);
+  function isHolder({ report, cachedTokens }: PendingStatus): boolean {
+    return report?.isLeaving === false && cachedTokens === countTokens(promptParts);
   }
 
-  if (!isRest) {
-    await Promise.all(answers.map(readLoad));
-    return answers;
+  if (!isResume) {
+    await Promise.all(statuses.map(readLoad));
+    return statuses;
   }
   await new Promise<void>((resolve, reject) => {
-    const checkFound = () => {
-      if (clock.getNowMs() - startedMs >= ANSWER_LIMIT_MS && answers.some(isKeeper)) resolve();
+    const resolveWhenFound = () => {
+      if (clock.getNowMs() - startedMs >= STATUS_TIMEOUT_MS && statuses.some(isHolder)) resolve();
     };
-    const reads = answers.map(async (answer) => {
-      await Promise.all([readLoad(answer), readKept(answer)]);
-      checkFound();
+    const reads = statuses.map(async (status) => {
+      await Promise.all([readLoad(status), readCachedTokens(status)]);
+      resolveWhenFound();
     });
-    clock.waitMs(ANSWER_LIMIT_MS).then(checkFound, reject);
+    clock.waitMs(STATUS_TIMEOUT_MS).then(resolveWhenFound, reject);
     Promise.all(reads).then(() => resolve(), reject);
   });
-  // What comes later than the decision is not part of it.
-  return answers.map((answer) => ({ ...answer }));
+  // Copies, since late responses must not change the input of the decision.
+  return statuses.map((status) => ({ ...status }));
 }
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetCall.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetCall.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with one target as a queue of events that one task reads. */
+/** One HTTP exchange with one target, as a queue of events that a single task reads. */
 import * as Kernel from '@sequoiarill/kernel';
 import type { Clock, ForwardingTarget } from '@sequoiarill/types';
 import type * as Undici from 'undici';
@@ -25,41 +25,44 @@
   | { readonly kind: 'cancelled' };
 
 export interface TargetCall {
-  /** The next event, or `timeout` when none comes in time. Read by one task. */
+  /** The next event, or `timeout` when none comes in time. Only one task may read. */
   readonly readEvent: (timeoutMs: number) => Promise<CallEvent>;
-  /** Whether bytes of the request may have left: without that it has not run. */
+  /** Whether bytes of the request may have been sent; if not, the request has not run. */
   readonly wasSent: () => boolean;
-  /** Closes the connection, unless the answer is whole; the target drops what it does. */
+  /** Closes the connection unless the response is complete; the target aborts the request. */
   readonly cancel: () => void;
 }
 
-/** Bytes of an answer kept for a slow reader before its connection is paused. */
-const MAX_WAITING_BYTES = 262_144;
+/**
+ * Bytes of a response that are buffered for a slow reader before reading from the connection
+ * pauses.
+ */
+const MAX_BUFFERED_BYTES = 262_144;
 
-/** Shortest wait after a pause of this process, milliseconds: running time may stand still for a moment. */
-const MIN_REST_MS = 10;
+/** Shortest wait after a process pause: running time may not advance for a moment. */
+const MIN_WAIT_MS = 10;
 
-/** Until when an event is waited for. */
+/** How long a read waits for an event. */
 export interface ReadDeadlines {
-  /** In running time: a target is not silent while this process is paused. */
+  /** In running time, so that a pause of this process does not count as silence of the target. */
   readonly silenceDeadlineMs: number;
-  /** The caller's deadline, monotonic milliseconds; it goes on during a pause. */
+  /** The caller's deadline, in monotonic milliseconds, which include process pauses. */
   readonly expiresAtMs: number;
 }
 
-/** The next event, or `timeout` when one of the limits is over. */
+/** The next event, or `timeout` when one of the deadlines has passed. */
 export async function readNextEvent(
   clock: Pick<Clock, 'getNowMs' | 'getRunningMs'>,
   call: Pick<TargetCall, 'readEvent'>,
   { silenceDeadlineMs, expiresAtMs }: ReadDeadlines,
 ): Promise<CallEvent> {
-  let silenceMs = silenceDeadlineMs - clock.getRunningMs();
+  let remainingMs = silenceDeadlineMs - clock.getRunningMs();
   for (;;) {
-    const event = await call.readEvent(Math.min(silenceMs, expiresAtMs - clock.getNowMs()));
+    const event = await call.readEvent(Math.min(remainingMs, expiresAtMs - clock.getNowMs()));
     if (event.kind !== 'timeout' || clock.getNowMs() >= expiresAtMs) return event;
-    silenceMs = silenceDeadlineMs - clock.getRunningMs();
-    if (silenceMs <= 0) return event;
-    silenceMs = Math.max(MIN_REST_MS, silenceMs);
+    remainingMs = silenceDeadlineMs - clock.getRunningMs();
+    if (remainingMs <= 0) return event;
+    remainingMs = Math.max(MIN_WAIT_MS, remainingMs);
   }
 }
 
@@ -68,44 +71,47 @@
 
 export function openCall(options: CallOptions): TargetCall {
   const { connection, target, method, path, headers, body } = options;
-  const waiting: CallEvent[] = [];
-  let waitingBytes = 0;
+  const bufferedEvents: CallEvent[] = [];
+  let bufferedBytes = 0;
   let controller: Undici.Dispatcher.DispatchController | undefined;
   let isSent = false;
   let isDone = false;
   let isCancelled = false;
-  let wakeReader: (() => void) | undefined;
+  let notifyReader: (() => void) | undefined;
 
   function addEvent(event: CallEvent): void {
     if (isCancelled) return;
-    waiting.push(event);
-    wakeReader?.();
+    bufferedEvents.push(event);
+    notifyReader?.();
   }
 
   function takeEvent(): CallEvent | undefined {
-    const event = waiting.shift();
+    const event = bufferedEvents.shift();
     if (event?.kind === 'data') {
-      waitingBytes -= event.chunk.length;
-      if (controller?.paused === true && waitingBytes < MAX_WAITING_BYTES) controller.resume();
+      bufferedBytes -= event.chunk.length;
+      if (controller?.paused === true && bufferedBytes < MAX_BUFFERED_BYTES) controller.resume();
     }
     return event;
   }
 
-  /** Failure: the process was held up, its timers are due first, and every target looks silent. */
+  /**
+   * Failure: after a process pause, timers fire before the sockets are read, and every target looks
+   * silent. So a timeout takes effect only after pending reads.
+   */
   async function waitForEvent(timeoutMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const timer = setTimeout(() => Kernel.delayPastReads(resolve), Math.max(0, timeoutMs));
-      wakeReader = () => {
+      notifyReader = () => {
         clearTimeout(timer);
         resolve();
       };
     });
-    wakeReader = undefined;
+    notifyReader = undefined;
   }
 
   async function readEvent(timeoutMs: number): Promise<CallEvent> {
     if (isCancelled) return CANCELLED;
-    if (waiting.length === 0) await waitForEvent(timeoutMs);
+    if (bufferedEvents.length === 0) await waitForEvent(timeoutMs);
     if (isCancelled) return CANCELLED;
     return takeEvent() ?? TIMEOUT;
   }
@@ -113,7 +119,7 @@
   function cancel(): void {
     if (isCancelled) return;
     isCancelled = true;
-    wakeReader?.();
+    notifyReader?.();
     if (!isDone) connection.close();
   }
 
@@ -127,21 +133,21 @@
       body: body.length > 0 ? body : null,
     },
     {
-      onRequestStart(started) {
-        controller = started;
+      onRequestStart(requestController) {
+        controller = requestController;
         isSent = true;
       },
-      onResponseStart(_started, status, answered, statusMessage) {
+      onResponseStart(_controller, status, responseHeaders, statusMessage) {
         if (status < 200) return;
         addEvent({
           kind: 'head',
-          head: { status, statusMessage: statusMessage ?? '', headers: answered },
+          head: { status, statusMessage: statusMessage ?? '', headers: responseHeaders },
         });
       },
-      onResponseData(started, chunk) {
-        waitingBytes += chunk.length;
+      onResponseData(requestController, chunk) {
+        bufferedBytes += chunk.length;
         addEvent({ kind: 'data', chunk });
-        if (waitingBytes > MAX_WAITING_BYTES) started.pause();
+        if (bufferedBytes > MAX_BUFFERED_BYTES) requestController.pause();
       },
       onResponseEnd() {
         isDone = true;
@@ -149,7 +155,7 @@
         else addEvent({ kind: 'end' });
         connection.release();
       },
-      onResponseError(_started, error) {
+      onResponseError(_controller, error) {
         isDone = true;
         connection.close();
         const { code = '', message } = error as NodeJS.ErrnoException;
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetConnections.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetConnections.ts
@@ -1,68 +1,77 @@
-/** Connections to targets, each for one request at a time; the one used last is used next. */
+/** Pools of connections to targets: one request at a time for each connection, last used first. */
 import type { ForwardingTarget } from '@sequoiarill/types';
 import * as Undici from 'undici';
 
 export interface TargetConnection {
   readonly dispatch: Undici.Client['dispatch'];
-  /** The target reset the connection: an answer that ends with its connection is not whole then. */
+  /**
+   * Whether the target reset the connection: a response that ends with its connection is incomplete
+   * then.
+   */
   readonly wasReset: () => boolean;
-  /** Keeps it for the next request, when the answer was whole. */
+  /** Returns the connection to the pool after a complete response. */
   readonly release: () => void;
   readonly close: () => void;
 }
 
 export interface TargetConnections {
   readonly takeConnection: (target: ForwardingTarget) => TargetConnection;
-  /** Idle connections are suspect, as after a silence: the next requests get new ones. */
+  /**
+   * Closes idle connections that may be dead, as after a silence; the next requests open new ones.
+   */
   readonly closeIdle: (target: ForwardingTarget) => void;
   readonly removeMissing: (isCurrent: (target: ForwardingTarget) => boolean) => void;
   readonly countOpen: () => number;
   readonly close: () => void;
 }
 
-interface Entry {
+interface ConnectionPool {
   readonly target: ForwardingTarget;
-  /** Newest last. */
+  /** Most recently used last. */
   readonly idle: TargetConnection[];
 }
 
-/** Between zones a connection takes some milliseconds; a dark target must not cost more than this. */
+/**
+ * A connection between zones takes a few milliseconds; an unreachable target must not cost more
+ * than this.
+ */
 const CONNECT_TIMEOUT_MS = 300;
-/** Idle connections are kept this long where the target names no time of its own, milliseconds. */
+/** Idle connections stay open this long where the target announces no keep-alive time. */
 const KEEP_ALIVE_MS = 4_000;
 /**
- * An idle connection is given up this long before the target would close it, milliseconds: a request
- * that crosses the close could have run.
+ * An idle connection is closed this long before the target would close it: a request that is sent
+ * while the target closes the connection may or may not have run.
  */
 const KEEP_ALIVE_MARGIN_MS = 900;
-/** First probe of an idle connection by the kernel, milliseconds. */
-const PROBE_DELAY_MS = 1_000;
+/** Idle time before the first TCP keep-alive probe. */
+const KEEP_ALIVE_PROBE_DELAY_MS = 1_000;
 
 export function createTargetConnections(): TargetConnections {
-  const entries = new Map<string, Entry>();
+  const pools = new Map<string, ConnectionPool>();
   const connect = Undici.buildConnector({
     timeout: CONNECT_TIMEOUT_MS,
     keepAlive: true,
-    keepAliveInitialDelay: PROBE_DELAY_MS,
+    keepAliveInitialDelay: KEEP_ALIVE_PROBE_DELAY_MS,
   });
   let openCount = 0;
 
-  function getEntry(target: ForwardingTarget): Entry {
-    const known = entries.get(target.id);
-    if (known !== undefined && isSameLife(known.target, target)) return known;
-    if (known !== undefined) closeEntry(known);
-    const created: Entry = { target, idle: [] };
-    entries.set(target.id, created);
-    return created;
+  function getPool(target: ForwardingTarget): ConnectionPool {
+    const existing = pools.get(target.id);
+    if (existing !== undefined && isSameTarget(existing.target, target)) return existing;
+    if (existing !== undefined) closePool(existing);
+    const pool: ConnectionPool = { target, idle: [] };
+    pools.set(target.id, pool);
+    return pool;
   }
 
-  function closeEntry(entry: Entry): void {
-    entry.idle.splice(0).forEach((connection) => connection.close());
+  function closePool(pool: ConnectionPool): void {
+    pool.idle.splice(0).forEach((connection) => connection.close());
   }
 
   /**
-   * Failure: an answer without a length ends with its connection, and the HTTP client takes a reset for
-   * that end, so half an answer looks whole. The connection's own error, which comes first, tells.
+   * Failure: a response without a length ends with its connection, and the HTTP client takes a
+   * reset for that end, so a truncated response looks complete. The socket's error event, which
+   * comes first, shows the reset.
    */
   function openConnection(target: ForwardingTarget): TargetConnection {
     let isReset = false;
@@ -95,14 +104,14 @@
       dispatch: client.dispatch.bind(client),
       wasReset: () => isReset,
       release() {
-        const entry = entries.get(target.id);
-        if (!isOpen || isReset || entry === undefined || !isSameLife(entry.target, target)) close();
-        else entry.idle.push(connection);
+        const pool = pools.get(target.id);
+        if (!isOpen || isReset || pool === undefined || !isSameTarget(pool.target, target)) close();
+        else pool.idle.push(connection);
       },
       close,
     };
     client.on('disconnect', () => {
-      const idle = entries.get(target.id)?.idle;
+      const idle = pools.get(target.id)?.idle;
       const index = idle?.indexOf(connection) ?? -1;
       if (index >= 0) {
         idle?.splice(index, 1);
@@ -113,27 +122,27 @@
   }
 
   return {
-    takeConnection: (target) => getEntry(target).idle.pop() ?? openConnection(target),
+    takeConnection: (target) => getPool(target).idle.pop() ?? openConnection(target),
     closeIdle(target) {
-      const known = entries.get(target.id);
-      if (known !== undefined) closeEntry(known);
+      const known = pools.get(target.id);
+      if (known !== undefined) closePool(known);
     },
     removeMissing(isCurrent) {
-      for (const [id, entry] of entries) {
-        if (!isCurrent(entry.target)) {
-          closeEntry(entry);
-          entries.delete(id);
+      for (const [id, pool] of pools) {
+        if (!isCurrent(pool.target)) {
+          closePool(pool);
+          pools.delete(id);
         }
       }
     },
     countOpen: () => openCount,
     close() {
-      entries.forEach(closeEntry);
-      entries.clear();
+      pools.forEach(closePool);
+      pools.clear();
     },
   };
 }
 
-function isSameLife(left: ForwardingTarget, right: ForwardingTarget): boolean {
+function isSameTarget(left: ForwardingTarget, right: ForwardingTarget): boolean {
   return left.address === right.address && left.startedAtUnixMs === right.startedAtUnixMs;
 }
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetIncarnation.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetIncarnation.ts
@@ -1,7 +1,7 @@
-/** Names for lives of targets. */
+/** Identifies incarnations of targets. */
 import type { ForwardingTarget } from '@sequoiarill/types';
 
-/** A target may start again under the id that it had. */
+/** A target may restart under the same id, so the start time is part of the key. */
 export function formatIncarnation({ id, startedAtUnixMs }: ForwardingTarget): string {
   return `${id}@${startedAtUnixMs}`;
 }
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
@@ -1,4 +1,4 @@
-/** What this router knows of the targets: own work there, failures, and who was lost lately. */
+/** This router's view of the targets: its own in-flight requests, failures, and recent losses. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { TargetView } from '@sequoiarill/decisions';
 import type { EngineReport, ForwardingTarget } from '@sequoiarill/types';
@@ -6,23 +6,25 @@
 import * as Registers from '../register';
 
 export interface TargetRegistry {
-  /** A request was placed there and will be sent in a moment, unless it is given up. */
+  /** A request was placed on the target and will be sent shortly, unless it is cancelled. */
   readonly recordPlacement: (target: ForwardingTarget) => void;
-  /** Gives what is to be called, once, when the request has ended there. */
+  /** Returns a function that must be called once, when the request has ended there. */
   readonly recordStart: (target: ForwardingTarget) => () => void;
-  /** An event of a stream, or a report: it lives. */
+  /** Liveness evidence: an event of a stream, or a report. */
   readonly recordAlive: (target: ForwardingTarget) => void;
   readonly recordSuccess: (target: ForwardingTarget) => void;
-  /** A failure that says nothing of the targets beside it, such as a full queue. */
+  /** A failure that is no evidence about other targets of the zone, such as a full queue. */
   readonly recordFailure: (target: ForwardingTarget) => void;
-  /** A connection refused or broken, a silence, a damaged answer. */
+  /** A refused or broken connection, a silence, or a damaged response. */
   readonly recordLoss: (target: ForwardingTarget) => void;
-  /** Another life of a target, or another one, has its address now: this one is gone. */
+  /**
+   * Another incarnation of the target, or another target, has its address now: this one is removed.
+   */
   readonly recordReplacement: (target: ForwardingTarget) => void;
-  /** The target's identity is not sure any more; see `recordProof`. */
+  /** Whether the target's identity must be verified again; see `recordVerified`. */
   readonly isUnverified: (target: ForwardingTarget) => boolean;
   readonly recordVerified: (target: ForwardingTarget) => void;
-  /** Monotonic milliseconds; undefined when it never proved its identity. */
+  /** Monotonic milliseconds; undefined when its identity was never verified. */
   readonly getVerifiedAtMs: (target: ForwardingTarget) => number | undefined;
   readonly recordReport: (target: ForwardingTarget, report: EngineReport) => void;
   readonly buildView: (target: ForwardingTarget) => TargetView;
@@ -31,53 +33,53 @@
   readonly removeMissing: (isCurrent: (target: ForwardingTarget) => boolean) => void;
 }
 
-interface UnseenSend {
+interface UnreportedSend {
   readonly atMs: number;
-  /** False between the placement and the send. */
+  /** False between placement and send. */
   isStarted: boolean;
 }
 
-interface Entry {
+interface TargetEntry {
   readonly target: ForwardingTarget;
   inFlight: number;
   report: EngineReport | undefined;
   reportedAtMs: number;
-  /** Requests in progress that the last report may not count. */
-  unseenSends: UnseenSend[];
+  /** In-flight requests that the last report may not include. */
+  unreportedSends: UnreportedSend[];
   endedSinceReport: number;
 }
 
 /**
- * An engine's report counts what it ran some hundred milliseconds ago. Failure: the runs that this
- * router sent just before are forgotten with each report, and the next prompt goes to the same engine,
- * whose neighbours idle; its first event comes a second later for each prompt before it.
+ * An engine's report shows what it ran a few hundred milliseconds ago. Failure: with each report
+ * the router drops the requests that it sent just before, and the next prompt goes to the same
+ * engine while others are idle; each prompt ahead delays the first event by a second.
  */
 const REPORT_LAG_MS = 300;
 
 export function createTargetRegistry(getNowMs: () => number): TargetRegistry {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, TargetEntry>();
   const getDetector = Registers.createRegister(() => Decisions.createOutlierDetector());
-  const suspicion = Decisions.createSuspectTracker();
+  const suspects = Decisions.createSuspectTracker();
 
-  function getEntry(target: ForwardingTarget): Entry {
-    const known = entries.get(target.id);
-    if (known !== undefined && known.target.startedAtUnixMs === target.startedAtUnixMs) {
-      return known;
+  function getEntry(target: ForwardingTarget): TargetEntry {
+    const existing = entries.get(target.id);
+    if (existing !== undefined && existing.target.startedAtUnixMs === target.startedAtUnixMs) {
+      return existing;
     }
-    const created: Entry = {
+    const entry: TargetEntry = {
       target,
       inFlight: 0,
       report: undefined,
       reportedAtMs: 0,
-      unseenSends: [],
+      unreportedSends: [],
       endedSinceReport: 0,
     };
-    entries.set(target.id, created);
-    return created;
+    entries.set(target.id, entry);
+    return entry;
   }
 
   function isSuspect(target: ForwardingTarget): boolean {
-    return suspicion.isSuspect(target, getNowMs());
+    return suspects.isSuspect(target, getNowMs());
   }
 
   function decideState(target: ForwardingTarget): TargetView['state'] {
@@ -88,72 +90,73 @@
     return getDetector(target.service).getState(target.id, getNowMs());
   }
 
-  function addUnseenSend(entry: Entry, isStarted: boolean): UnseenSend {
+  function addUnreportedSend(entry: TargetEntry, isStarted: boolean): UnreportedSend {
     const send = { atMs: getNowMs(), isStarted };
-    entry.unseenSends.push(send);
+    entry.unreportedSends.push(send);
     return send;
   }
 
   return {
     /**
-     * Failure: two prompts wait for the same reports, both find the same engine idle, and are placed
-     * there before either is sent; the second waits for the first while the neighbours idle.
+     * Failure: two prompts wait for the same reports, both find the same engine idle, and are
+     * placed there before either is sent; the second is queued behind the first while other engines
+     * are idle.
      */
     recordPlacement(target) {
-      addUnseenSend(getEntry(target), false);
+      addUnreportedSend(getEntry(target), false);
     },
     recordStart(target) {
       const entry = getEntry(target);
       entry.inFlight += 1;
-      const placed = entry.unseenSends.find(({ isStarted }) => !isStarted);
-      const send = placed ?? addUnseenSend(entry, true);
+      const placement = entry.unreportedSends.find(({ isStarted }) => !isStarted);
+      const send = placement ?? addUnreportedSend(entry, true);
       send.isStarted = true;
       return () => {
         entry.inFlight = Math.max(0, entry.inFlight - 1);
-        if (!entry.unseenSends.includes(send)) entry.endedSinceReport += 1;
-        entry.unseenSends = entry.unseenSends.filter((other) => other !== send);
+        if (!entry.unreportedSends.includes(send)) entry.endedSinceReport += 1;
+        entry.unreportedSends = entry.unreportedSends.filter((other) => other !== send);
       };
     },
     recordSuccess(target) {
       getDetector(target.service).recordSuccess(target.id, getNowMs());
-      suspicion.recordAlive(target, getNowMs());
-      suspicion.recordVerified(target, getNowMs());
+      suspects.recordAlive(target, getNowMs());
+      suspects.recordVerified(target, getNowMs());
     },
     recordAlive(target) {
-      suspicion.recordAlive(target, getNowMs());
+      suspects.recordAlive(target, getNowMs());
     },
     recordFailure(target) {
       getDetector(target.service).recordFailure(target.id, getNowMs());
     },
     recordLoss(target) {
       getDetector(target.service).recordFailure(target.id, getNowMs());
-      suspicion.recordLoss(target, getNowMs());
+      suspects.recordLoss(target, getNowMs());
     },
     recordReplacement(target) {
-      suspicion.recordRemoval(target, getNowMs());
+      suspects.recordRemoval(target, getNowMs());
     },
-    isUnverified: suspicion.isUnverified,
-    getVerifiedAtMs: suspicion.getVerifiedAtMs,
+    isUnverified: suspects.isUnverified,
+    getVerifiedAtMs: suspects.getVerifiedAtMs,
     recordVerified(target) {
-      suspicion.recordVerified(target, getNowMs());
+      suspects.recordVerified(target, getNowMs());
     },
     recordReport(target, report) {
       const entry = getEntry(target);
       entry.report = report;
       entry.reportedAtMs = getNowMs();
-      const seenUntilMs = entry.reportedAtMs - REPORT_LAG_MS;
-      entry.unseenSends = entry.unseenSends.filter(({ atMs }) => atMs > seenUntilMs);
+      const reportedUntilMs = entry.reportedAtMs - REPORT_LAG_MS;
+      entry.unreportedSends = entry.unreportedSends.filter(({ atMs }) => atMs > reportedUntilMs);
       entry.endedSinceReport = 0;
     },
     buildView(target) {
       const entry = getEntry(target);
-      const { report, unseenSends, endedSinceReport } = entry;
+      const { report, unreportedSends, endedSinceReport } = entry;
       return {
         name: target.id,
         zone: target.zone,
         slots: target.slots,
         inFlight: entry.inFlight,
-        sentSinceReport: unseenSends.length,
+        sentSinceReport: unreportedSends.length,
         endedSinceReport,
         state: decideState(target),
         warmShare: getDetector(target.service).getWarmShare(target.id, getNowMs()),
@@ -173,7 +176,7 @@
         if (!isCurrent(target) && inFlight === 0) {
           entries.delete(id);
           getDetector(target.service).removeTarget(id);
-          suspicion.removeTarget(id);
+          suspects.removeTarget(id);
         }
       }
     },
