--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/copyCommands.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/copyCommands.test.ts
@@ -13,8 +13,8 @@
     const sent: EngineCommand[] = [];
     const commands = CopyCommands.createCopyCommands(
       Kernel.createFakeWire(),
-      async (_target, order) => {
-        sent.push(order);
+      async (_target, command) => {
+        sent.push(command);
         return undefined;
       },
     );
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -176,7 +176,7 @@
     (other) => other.models === models,
   );
   if (available.length > 1) return available;
-  // A canary version may have a single target open to new work; its other targets can hold copies.
+  // During a rollout a version may have a single target for new work; its others can hold copies.
   const all = dependencies.directory.listTargets(request.service);
   return Decisions.selectAvailable(all, dependencies.registry.isSuspect).filter(
     (other) => other.models === models && !dependencies.rollouts.isLeaving(other),
