--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
@@ -151,7 +151,7 @@
     expect(blocks.map(({ id }) => id)).toEqual(['1', '2']);
     const passed = Buffer.concat(blocks.map(({ bytes }) => bytes)).toString();
     expect(passed).toEqual('id: 1\ndata: ä\n\nversion: 2\nid: 2\ndata: b\n\n');
-    expect(splitter.hasRest()).toEqual(true);
+    expect(splitter.hasPartialEvent()).toEqual(true);
   });
 
   it('gives up an event that has no end', () => {
@@ -167,10 +167,10 @@
 
   it('leaves out what the caller has, and sees a hole', () => {
     const blocks = ['4', '5', '6'].map(createBlock);
-    const fresh = StreamRelays.selectFresh(blocks, '5');
+    const fresh = StreamRelays.selectNewBlocks(blocks, '5');
     expect(fresh === 'gap' ? fresh : fresh.map(({ id }) => id)).toEqual(['6']);
-    expect(StreamRelays.selectFresh(blocks, '2')).toEqual('gap');
-    expect(StreamRelays.selectFresh([createBlock('1'), createBlock('3')], undefined)).toEqual(
+    expect(StreamRelays.selectNewBlocks(blocks, '2')).toEqual('gap');
+    expect(StreamRelays.selectNewBlocks([createBlock('1'), createBlock('3')], undefined)).toEqual(
       'gap',
     );
   });
