--- a/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
@@ -15,7 +15,7 @@
   if (event.kind === 'cancelled') return { kind: 'callerLeft' };
   if (event.kind !== 'broken') return undefined;
   const { reason } = event;
-  return call.wasSent() ? { kind: 'lost', reason, isSilence: false } : { kind: 'notSent', reason };
+  return call.wasSent() ? { kind: 'lost', reason, isTimeout: false } : { kind: 'notSent', reason };
 }
 
 /** Another target has the address now. */
@@ -45,7 +45,7 @@
 }
 
 /** A head that is no answer of the target to this request, as an outcome; the call is given up. */
-export function decideHead(
+export function handleAnswerHead(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   target: ForwardingTarget,
@@ -58,11 +58,11 @@
   if (verdict.kind === 'own') return undefined;
   if (verdict.kind === 'notRun') return verdict;
   call.cancel();
-  return { kind: 'lost', reason: verdict.reason, isSilence: false };
+  return { kind: 'lost', reason: verdict.reason, isTimeout: false };
 }
 
 /** Reads on after the head until the answer is whole. */
-export async function readWhole(
+export async function readFullAnswer(
   call: TargetCall,
   head: AnswerHead,
   readNext: () => Promise<CallEvent>,
@@ -76,13 +76,13 @@
       bytes += event.chunk.length;
       if (bytes > MAX_ANSWER_BYTES) {
         call.cancel();
-        return { kind: 'lost', reason: 'over-long answer', isSilence: false };
+        return { kind: 'lost', reason: 'over-long answer', isTimeout: false };
       }
     } else if (event.kind === 'end') {
       return { kind: 'whole', head, body: Buffer.concat(chunks, bytes) };
     } else if (event.kind === 'timeout') {
       call.cancel();
-      return { kind: 'lost', reason: 'silent in the middle of an answer', isSilence: true };
+      return { kind: 'lost', reason: 'silent in the middle of an answer', isTimeout: true };
     } else {
       const failure = decideFailure(call, event);
       if (failure !== undefined) return failure;
@@ -111,17 +111,17 @@
     if (first.kind === 'timeout') {
       call.cancel();
       return call.wasSent()
-        ? { kind: 'lost', reason: 'silent', isSilence: true }
+        ? { kind: 'lost', reason: 'silent', isTimeout: true }
         : { kind: 'notSent', reason: 'no connection in time' };
     }
     if (first.kind === 'head') {
       return (
-        decideHead(dependencies, request, target, call, first.head) ??
-        (await readWhole(call, first.head, readNext))
+        handleAnswerHead(dependencies, request, target, call, first.head) ??
+        (await readFullAnswer(call, first.head, readNext))
       );
     }
     return (
-      decideFailure(call, first) ?? { kind: 'lost', reason: 'no status line', isSilence: false }
+      decideFailure(call, first) ?? { kind: 'lost', reason: 'no status line', isTimeout: false }
     );
   } finally {
     recordEnd();
--- a/packages/sequoiarill-plugin-forwarding/src/answers/wholeAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/wholeAnswer.ts
@@ -77,8 +77,8 @@
   const question = { request, excluded, purpose: 'first' } as const;
   const target = Placement.chooseTarget(dependencies, question);
   if (target !== undefined) return target;
-  const limited = Placement.listLimited(dependencies, request, excluded);
-  return (await dependencies.limits.borrowPermit(limited))
+  const limited = Placement.listRateLimited(dependencies, request, excluded);
+  return (await dependencies.limits.acquirePermit(limited))
     ? Placement.chooseTarget(dependencies, question)
     : undefined;
 }
@@ -89,9 +89,9 @@
   request: ForwardRequest,
   progress: Progress,
 ): ForwardOutcome {
-  const limited = Placement.listLimited(dependencies, request, progress.excluded);
+  const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
   if (limited.length === 0) return decideEnd(request, progress, false);
-  progress.lastReason = Placement.LIMITED_REASON;
+  progress.lastReason = Placement.RATE_LIMITED_REASON;
   const retryAfterSeconds = dependencies.limits.getRetrySeconds(limited);
   return ForwardRequests.setRetryAfter(decideEnd(request, progress, false), retryAfterSeconds);
 }
@@ -126,8 +126,8 @@
     dependencies.clock.getNowMs(),
   );
   recordEnd(Sending.decideVersionEnd(outcome));
-  if (outcome.kind === 'lost' && !outcome.isSilence) {
-    await dependencies.crashes.recordBreak(request, target);
+  if (outcome.kind === 'lost' && !outcome.isTimeout) {
+    await dependencies.crashes.recordDisconnect(request, target);
   }
   return outcome;
 }
@@ -205,7 +205,7 @@
     return undefined;
   }
   if (!isOnce) return undefined;
-  const isLate = outcome.kind === 'lost' && outcome.isSilence;
+  const isLate = outcome.kind === 'lost' && outcome.isTimeout;
   return { kind: 'failed', reason: progress.lastReason, isLate, ...getLastTarget(progress) };
 }
 
@@ -244,7 +244,7 @@
   // One answer that is lost says little of a target that takes connections; several in a row do.
   if (outcome.kind === 'notSent') registry.recordLoss(target);
   else registry.recordFailure(target);
-  if (outcome.kind === 'lost' && outcome.isSilence) dependencies.renewConnections(target);
+  if (outcome.kind === 'lost' && outcome.isTimeout) dependencies.renewConnections(target);
   log.logEvent(Events.TARGET_LOST, {
     request: request.id,
     target: target.id,
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/handover.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/handover.test.ts
@@ -37,7 +37,7 @@
     const { text, outcome } = await Simulation.simulateStream(fake);
     expect(outcome?.kind).toEqual('complete');
     expect(text).toEqual(Simulation.formatAll(EVENTS));
-    const last = fake.sent.at(-1);
+    const last = fake.sentCalls.at(-1);
     expect(last?.target.startsWith('b')).toEqual(true);
     expect(last?.headers.from).not.toEqual(undefined);
   });
@@ -48,6 +48,6 @@
     const { text, outcome } = await Simulation.simulateStream(fake);
     expect(outcome?.kind).toEqual('complete');
     expect(text).toEqual(Simulation.formatAll(EVENTS));
-    expect(fake.sent.every(({ target }) => target.startsWith('a'))).toEqual(true);
+    expect(fake.sentCalls.every(({ target }) => target.startsWith('a'))).toEqual(true);
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
@@ -24,8 +24,8 @@
     fake.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 3 });
     const result = await Simulation.simulateStream(fake);
     expect(result.text).toEqual(Simulation.formatAll(6));
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b1']);
-    expect(fake.sent[1]?.atMs ?? Infinity).toBeLessThan(1_000);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1']);
+    expect(fake.sentCalls[1]?.atMs ?? Infinity).toBeLessThan(1_000);
   });
 
   it('requests another copy when the holder of the copy is lost', async () => {
@@ -57,8 +57,8 @@
     const result = await pending;
     expect(result.text).toEqual(Simulation.formatAll(60));
     expect(result.maxGapMs).toBeLessThan(700);
-    expect(fake.orders).toEqual(['a1 to c1']);
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'c1']);
+    expect(fake.commands).toEqual(['a1 to c1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'c1']);
   });
 
   it('continues in the local zone when that zone is cut off just after a crash of its engines', async () => {
@@ -98,7 +98,7 @@
     const [result] = await Promise.all([Simulation.simulateStream(fake), zoneBack, zoneCut]);
     expect(result.text).toEqual(Simulation.formatAll(120));
     expect(result.maxGapMs).toBeLessThan(700);
-    expect(fake.sent.map(({ target }) => target)).toEqual(['b1', 'a1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['b1', 'a1']);
   });
 
   it('stays with its engine when the router resumes after a process pause', async () => {
@@ -116,7 +116,7 @@
     const paused = fake.clock.waitMs(190).then(() => fake.clock.delay(pauseMs));
     const [result] = await Promise.all([Simulation.simulateStream(fake), paused]);
     expect(result.text).toEqual(Simulation.formatAll(12));
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1']);
   });
 
   it('leaves a prompt with a live engine whose prefill is slow', async () => {
@@ -131,7 +131,7 @@
     fake.reports.set('a1', { ...Fakes.IDLE_REPORT, running: 1, prefilling: 1 });
     const result = await Simulation.simulateStream(fake);
     expect(result.text).toEqual(Simulation.formatAll(3));
-    expect(fake.sent.length).toEqual(1);
+    expect(fake.sentCalls.length).toEqual(1);
   });
 
   it('continues from the copy within the pause objective when an engine becomes unreachable', async () => {
@@ -151,11 +151,11 @@
     expect(result.text).toEqual(Simulation.formatAll(12));
     expect(result.outcome?.kind).toEqual('complete');
     expect(result.maxGapMs).toBeLessThan(700);
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b1']);
-    expect(fake.sent[0]?.headers.backup).toEqual('10.0.0.1:b1');
-    expect(fake.sent[1]?.headers.from).toEqual('10.0.0.1:b1/r1');
-    expect(fake.sent[1]?.headers.last).toEqual('5');
-    expect(fake.sent[0]?.isCancelled).toEqual(true);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1']);
+    expect(fake.sentCalls[0]?.headers.backup).toEqual('10.0.0.1:b1');
+    expect(fake.sentCalls[1]?.headers.from).toEqual('10.0.0.1:b1/r1');
+    expect(fake.sentCalls[1]?.headers.last).toEqual('5');
+    expect(fake.sentCalls[0]?.isCancelled).toEqual(true);
   });
 
   it('continues with retry quota borrowed from other routers', async () => {
@@ -172,9 +172,9 @@
       fake.setTargets([Fakes.createTarget('a1'), Fakes.createTarget('b1', { zone: 'b' })]);
       fake.reports.set('a1', Fakes.IDLE_REPORT);
       fake.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 3 });
-      lenders.forEach(([router, repeats]) => fake.lenders.set(router, repeats));
+      lenders.forEach(([router, repeats]) => fake.peerRetryQuota.set(router, repeats));
       fake.dependencies.getBudget('engines').grantQuota(0, Number.POSITIVE_INFINITY);
-      return { result: await Simulation.simulateStream(fake), lenders: fake.lenders };
+      return { result: await Simulation.simulateStream(fake), lenders: fake.peerRetryQuota };
     };
     const withoutLenders = await simulateBreak([]);
     expect(withoutLenders.result.outcome?.kind).toEqual('broken');
@@ -204,12 +204,12 @@
       const pending = Simulation.simulateStream(fake);
       await fake.clock.runFor(0);
       const isLeaving = reason === 'is leaving';
-      if (!isLeaving) fake.limited.add(copy.id);
+      if (!isLeaving) fake.rateLimited.add(copy.id);
       fake.setTargets([running, { ...copy, state: isLeaving ? 'draining' : 'ready' }, other]);
       const result = await pending;
       expect(result.text).toEqual(Simulation.formatAll(12));
-      expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b2']);
-      expect(fake.sent[1]?.headers.from).toEqual(undefined);
+      expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b2']);
+      expect(fake.sentCalls[1]?.headers.from).toEqual(undefined);
     });
   }
 
@@ -225,7 +225,7 @@
     busy.reports.set('a1', { ...Fakes.IDLE_REPORT, prefilling: 1, running: 1 });
     busy.reports.set('b1', { ...Fakes.IDLE_REPORT, prefilling: 4, running: 4 });
     expect((await Simulation.simulateStream(busy)).text).toEqual(Simulation.formatAll(3));
-    expect(busy.sent.length).toEqual(1);
+    expect(busy.sentCalls.length).toEqual(1);
 
     const restarted = Fakes.createFakeDependencies((target) =>
       target === 'a1' ? [] : Simulation.createRun(1, 3),
@@ -235,7 +235,7 @@
     restarted.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 2 });
     const result = await Simulation.simulateStream(restarted);
     expect(result.text).toEqual(Simulation.formatAll(3));
-    expect(restarted.sent.map(({ target }) => target)).toEqual(['a1', 'b1']);
+    expect(restarted.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1']);
   });
 
   it('is refused at once when its first event would be late at all queried engines', async () => {
@@ -249,7 +249,7 @@
     fake.reports.set('b1', busy);
     const { outcome } = await Simulation.simulateStream(fake);
     expect(outcome?.kind).toEqual('refused');
-    expect(fake.sent.length).toEqual(0);
+    expect(fake.sentCalls.length).toEqual(0);
   });
 
   it('ends at once when no target can continue', async () => {
@@ -262,7 +262,7 @@
     fake.setTargets([Fakes.createTarget('a1')]);
     const lost = await Simulation.simulateStream(fake, 10_000);
     expect(lost.outcome?.kind).toEqual('failed');
-    expect(fake.sent.length).toEqual(5);
+    expect(fake.sentCalls.length).toEqual(5);
   });
 
   it('spends no retries on engines that refuse connections, and waits for their restart', async () => {
@@ -304,6 +304,6 @@
     fake.reports.set('c1', { ...Fakes.IDLE_REPORT, running: 5 });
     const result = await Simulation.simulateStream(fake);
     expect(result.text).toEqual(Simulation.formatAll(12));
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b1', 'c1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1', 'c1']);
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -117,8 +117,8 @@
   outcome: AttemptOutcome,
   isPastCrashWindow: boolean,
 ): Promise<void> {
-  if (outcome.kind !== 'lost' || outcome.isSilence || isPastCrashWindow) return;
-  await crashes.recordBreak(request, target);
+  if (outcome.kind !== 'lost' || outcome.isTimeout || isPastCrashWindow) return;
+  await crashes.recordDisconnect(request, target);
 }
 
 function createStreamReader(
@@ -171,11 +171,11 @@
   }
 
   async function handleHead(responseHead: AnswerHead): Promise<StepResult> {
-    const failure = Sending.decideHead(dependencies, request, target, call, responseHead);
+    const failure = Sending.handleAnswerHead(dependencies, request, target, call, responseHead);
     if (failure !== undefined) return failure;
     if (responseHead.status !== STATUS_OK) {
       recordResult(Checks.isServerError(responseHead.status) ? 'failed' : 'unknown');
-      return Sending.readWhole(call, responseHead, readNext);
+      return Sending.readFullAnswer(call, responseHead, readNext);
     }
     head = responseHead;
     return undefined;
@@ -183,7 +183,7 @@
 
   function handleData(chunk: Buffer): StepResult {
     const blocks = splitter.addBytes(chunk);
-    if (blocks === undefined) return { kind: 'lost', reason: 'oversized event', isSilence: false };
+    if (blocks === undefined) return { kind: 'lost', reason: 'oversized event', isTimeout: false };
     if (blocks.length === 0 || head === undefined) return undefined;
     recordEvents();
     return { head, blocks };
@@ -191,7 +191,7 @@
 
   function handleEnd(): StepResult {
     if (head === undefined || splitter.hasPartialEvent()) {
-      return { kind: 'lost', reason: 'ended within an event', isSilence: false };
+      return { kind: 'lost', reason: 'ended within an event', isTimeout: false };
     }
     return { kind: 'complete', head };
   }
@@ -237,7 +237,7 @@
     // An event may have arrived during the probe.
     const event = await call.readEvent(0);
     if (event.kind !== 'timeout') return handleEvent(event);
-    return { kind: 'lost', reason: 'silent', isSilence: true };
+    return { kind: 'lost', reason: 'silent', isTimeout: true };
   }
 
   async function handleEvent(event: CallEvent): Promise<StepResult> {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
@@ -113,7 +113,7 @@
   const reserve = Math.min(RESERVED_RETRIES, budget.getCapacity(clock.getNowMs()) * RESERVE_SHARE);
   const needed = hasEvents ? 1 : 1 + reserve;
   const hasEnough = (): boolean => budget.getBalance(clock.getNowMs()) >= needed;
-  if (!hasEnough()) await RetryQuotas.borrowRepeats(dependencies, request, budget, needed);
+  if (!hasEnough()) await RetryQuotas.acquireRetryQuota(dependencies, request, budget, needed);
   return hasEnough() && budget.takeRetry(clock.getNowMs());
 }
 
@@ -127,7 +127,7 @@
 ): ForwardingTarget | undefined {
   const holder = copy === undefined ? undefined : dependencies.directory.findCurrent(copy.holder);
   if (holder?.state !== 'ready' || dependencies.rollouts.isLeaving(holder)) return undefined;
-  if (!dependencies.limits.isOpen(holder)) return undefined;
+  if (!dependencies.limits.isAvailable(holder)) return undefined;
   return holder;
 }
 
@@ -191,8 +191,8 @@
   request: ForwardRequest,
   progress: Progress,
 ): ReturnType<typeof createPlan> {
-  const limited = Placement.listLimited(dependencies, request, progress.excluded);
-  const isBorrowed = await dependencies.limits.borrowPermit(limited);
+  const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
+  const isBorrowed = await dependencies.limits.acquirePermit(limited);
   return isBorrowed ? createPlan(dependencies, request, progress) : undefined;
 }
 
@@ -211,10 +211,10 @@
   request: ForwardRequest,
   progress: Progress,
 ): StreamOutcome {
-  const limited = Placement.listLimited(dependencies, request, progress.excluded);
+  const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
   if (limited.length === 0) return decideEnd(progress, progress.lastReason, false);
   const retryAfterSeconds = dependencies.limits.getRetrySeconds(limited);
-  const end = decideEnd(progress, Placement.LIMITED_REASON, false);
+  const end = decideEnd(progress, Placement.RATE_LIMITED_REASON, false);
   return ForwardRequests.setRetryAfter(end, retryAfterSeconds);
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -69,7 +69,7 @@
       const { head, blocks } = step.value;
       hasProducedEvents = true;
       const newBlocks = selectNewBlocks(blocks, progress.lastEventId);
-      if (newBlocks === 'gap') return { kind: 'lost', reason: 'missing events', isSilence: false };
+      if (newBlocks === 'gap') return { kind: 'lost', reason: 'missing events', isTimeout: false };
       monitor.update();
       if (newBlocks.length > 0) {
         if (!progress.hasEvents) yield { kind: 'head', head };
@@ -92,7 +92,7 @@
   head: AnswerHead,
   newBlocks: readonly EventBlock[],
 ): void {
-  progress.isFramed ??= !Checks.isUnframed(head);
+  progress.isFramed ??= !Checks.isCloseDelimited(head);
   progress.hasEvents = true;
   progress.models ??= target.models;
   progress.lastEventId = newBlocks.at(-1)?.id ?? progress.lastEventId;
@@ -125,9 +125,9 @@
  */
 function decideFramedEnd(outcome: AttemptOutcome, progress: Progress): AttemptOutcome {
   const isEndUncertain =
-    outcome.kind === 'complete' && progress.isFramed === true && Checks.isUnframed(outcome.head);
+    outcome.kind === 'complete' && progress.isFramed === true && Checks.isCloseDelimited(outcome.head);
   return isEndUncertain
-    ? { kind: 'lost', reason: 'response ended without framing', isSilence: false }
+    ? { kind: 'lost', reason: 'response ended without framing', isTimeout: false }
     : outcome;
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -40,7 +40,7 @@
   excluded: ReadonlySet<string>,
 ): Promise<EnginePair | undefined> {
   dependencies.getPromptEstimates(request.service).recordRequest(request.promptTokens);
-  const available = Placement.listOpen(dependencies, request);
+  const available = Placement.listAvailable(dependencies, request);
   const queried = new Set(excluded);
   for (let round = 0; round < MAX_ROUNDS; round += 1) {
     const sample = sampleEngines(dependencies, request, available, queried);
@@ -161,7 +161,7 @@
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
 ): boolean {
-  return Placement.listOpen(dependencies, request).some(
+  return Placement.listAvailable(dependencies, request).some(
     (engine) => engine.zone === dependencies.zone && !dependencies.registry.isSuspect(engine),
   );
 }
@@ -172,7 +172,7 @@
   request: ForwardRequest,
   { models }: ForwardingTarget,
 ): readonly ForwardingTarget[] {
-  const available = Placement.listOpen(dependencies, request).filter(
+  const available = Placement.listAvailable(dependencies, request).filter(
     (other) => other.models === models,
   );
   if (available.length > 1) return available;
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
@@ -3,7 +3,7 @@
 import type { TargetView } from '@sequoiarill/decisions';
 import type { EngineReport, ForwardingTarget } from '@sequoiarill/types';
 
-import * as Registers from '../register';
+import * as LazyGetters from '../register';
 
 export interface TargetRegistry {
   /** A request was placed on the target and will be sent shortly, unless it is cancelled. */
@@ -58,7 +58,7 @@
 
 export function createTargetRegistry(getNowMs: () => number): TargetRegistry {
   const entries = new Map<string, TargetEntry>();
-  const getDetector = Registers.createRegister(() => Decisions.createOutlierDetector());
+  const getDetector = LazyGetters.createLazyGetter(() => Decisions.createOutlierDetector());
   const suspects = Decisions.createSuspectTracker();
 
   function getEntry(target: ForwardingTarget): TargetEntry {
