--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
@@ -16,7 +16,7 @@
 import type { CallEvent, TargetCall } from '../targets/targetCall';
 
 const WIRE = Kernel.createFakeWire();
-export const NAMES = WIRE.headers;
+export const HEADER_NAMES = WIRE.headers;
 
 export const IDLE_REPORT: EngineReport = {
   queued: 0,
@@ -44,20 +44,20 @@
 export interface FakeDependencies {
   readonly dependencies: ForwardingDependencies;
   readonly clock: Kernel.FakeClock;
-  readonly sent: readonly SentCall[];
+  readonly sentCalls: readonly SentCall[];
   readonly setTargets: (targets: readonly ForwardingTarget[]) => void;
   /** Reports of engines that answer; others are silent. */
   readonly reports: Map<string, EngineReport>;
   /** Parts of prompts that engines keep. */
-  readonly kept: Map<string, CachedPromptParts>;
+  readonly cachedParts: Map<string, CachedPromptParts>;
   /** Milliseconds that an engine takes to answer a question; none unless set. */
-  readonly answerMs: Map<string, number>;
+  readonly responseDelayMs: Map<string, number>;
   /** What other routers have left of the repeats. */
-  readonly lenders: Map<string, number>;
+  readonly peerRetryQuota: Map<string, number>;
   /** Targets that take no more for now. */
-  readonly limited: Set<string>;
+  readonly rateLimited: Set<string>;
   /** Copies that were ordered and freed. */
-  readonly orders: readonly string[];
+  readonly commands: readonly string[];
 }
 
 export function createTarget(id: string, change: Partial<ForwardingTarget> = {}): ForwardingTarget {
@@ -107,7 +107,7 @@
     service: route.shares[0]?.service ?? '',
     arrivedAtMs: 0,
     expiresAtMs: route.timeoutMs,
-    isReturning: false,
+    isClientRetry: false,
     promptTokens: 8_000,
     promptParts: [],
     versionDraw: 0.5,
@@ -251,12 +251,12 @@
     crashes: {
       getBlockedMs: () => 0,
       recordAnswer: () => undefined,
-      recordBreak: async () => undefined,
+      recordDisconnect: async () => undefined,
     },
     limits: {
       recordHead: () => undefined,
-      isOpen: ({ id }) => !limited.has(id),
-      borrowPermit: async () => false,
+      isAvailable: ({ id }) => !limited.has(id),
+      acquirePermit: async () => false,
       getRetrySeconds: () => 1,
     },
     chooser: Decisions.createTargetChooser({ nextRandom }),
@@ -287,13 +287,13 @@
   return {
     dependencies,
     clock,
-    sent,
+    sentCalls: sent,
     reports,
-    kept,
-    answerMs,
-    lenders,
-    orders,
-    limited,
+    cachedParts: kept,
+    responseDelayMs: answerMs,
+    peerRetryQuota: lenders,
+    commands: orders,
+    rateLimited: limited,
     setTargets(next) {
       targets = next;
     },
--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
@@ -8,7 +8,7 @@
 import * as Headers from '../front/headers';
 import * as RouteTables from '../front/routeTable';
 import * as StreamRelays from '../streams/streamRelay';
-import { NAMES } from './fakeDependencies';
+import { HEADER_NAMES } from './fakeDependencies';
 
 function createRoute(name: string, host: string, pathPrefix: string): ForwardingRoute {
   return {
@@ -108,7 +108,7 @@
 describe('checks of an answer', () => {
   function checkHead(status: number, headers: Readonly<Record<string, string>>) {
     const head = { status, statusMessage: '', headers };
-    return Checks.checkHead(head, 'r1', NAMES).kind;
+    return Checks.checkHead(head, 'r1', HEADER_NAMES).kind;
   }
 
   it('takes only the signed answer to this very request', () => {
@@ -132,7 +132,7 @@
 
   it('knows answers that end with their connection', () => {
     const unframed = (status: number, headers: Readonly<Record<string, string>>) =>
-      Checks.isUnframed({ status, statusMessage: '', headers });
+      Checks.isCloseDelimited({ status, statusMessage: '', headers });
     expect(unframed(200, {})).toEqual(true);
     expect(unframed(200, { 'content-length': '3' })).toEqual(false);
     expect(unframed(200, { 'transfer-encoding': 'chunked' })).toEqual(false);
--- a/packages/sequoiarill-plugin-forwarding/src/answers/__tests__/wholeAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/__tests__/wholeAnswer.test.ts
@@ -68,7 +68,7 @@
     const paused = fake.clock.waitMs(10).then(() => fake.clock.delay(200));
     const [{ outcome }] = await Promise.all([playRequest(fake, { timeoutMs: 400 }), paused]);
     expect(outcome.kind).toEqual('answer');
-    expect(fake.sent.length).toEqual(1);
+    expect(fake.sentCalls.length).toEqual(1);
   });
 
   it('comes from another target in time when one hangs, where the request may be repeated', async () => {
@@ -85,7 +85,7 @@
     fake.setTargets(createServices(3));
     const { outcome } = await playRequest(fake, { retryPolicy: 'once' });
     expect(outcome.kind).toEqual('failed');
-    expect(fake.sent.length).toEqual(1);
+    expect(fake.sentCalls.length).toEqual(1);
   });
 
   it('is refused at once when all targets were lost lately and one request tries them', async () => {
@@ -101,7 +101,7 @@
     const { outcome, tookMs } = await playRequest(fake, { retryPolicy: 'once' });
     expect(outcome.kind).toEqual('refused');
     expect(tookMs).toEqual(0);
-    expect(fake.sent.length).toEqual(0);
+    expect(fake.sentCalls.length).toEqual(0);
   });
 
   it('goes on asking targets that lose an answer now and then', async () => {
@@ -150,7 +150,7 @@
     const targets = createServices(2);
     fake.setTargets(targets);
     for (let round = 0; round < 20; round += 1) await playRequest(fake);
-    const toIll = fake.sent.filter(({ target }) => target === 's0').length;
+    const toIll = fake.sentCalls.filter(({ target }) => target === 's0').length;
     expect(toIll).toBeLessThan(10);
   });
 
@@ -159,7 +159,7 @@
     fake.setTargets(createServices(3));
     const { outcome } = await playRequest(fake);
     expect(outcome.kind).toEqual('answer');
-    expect(fake.sent.length).toEqual(2);
+    expect(fake.sentCalls.length).toEqual(2);
   });
 
   it('is refused at once while the service has more than it can answer on time', async () => {
@@ -178,22 +178,22 @@
     for (let index = 0; index < 20; index += 1) outcomes.push((await playRequest(fake)).outcome);
     const refused = outcomes.filter(({ kind }) => kind === 'refused');
     expect(refused.length).toBeGreaterThan(10);
-    expect(fake.sent.length).toEqual(outcomes.length - refused.length);
+    expect(fake.sentCalls.length).toEqual(outcomes.length - refused.length);
   });
 
   it('is refused at once where its only target takes no more, and sent when it does', async () => {
     // Guards against a request that waits for a permit until its caller has gone.
     const fake = Fakes.createFakeDependencies(() => OK);
     fake.setTargets(createServices(1));
-    fake.limited.add('s0');
+    fake.rateLimited.add('s0');
     const { outcome, tookMs } = await playRequest(fake);
     expect(outcome).toEqual({
       kind: 'refused',
       reason: 'its targets take no more requests for now',
       retryAfterSeconds: 1,
     });
-    expect([fake.sent.length, tookMs]).toEqual([0, 0]);
-    fake.limited.clear();
+    expect([fake.sentCalls.length, tookMs]).toEqual([0, 0]);
+    fake.rateLimited.clear();
     expect((await playRequest(fake)).outcome.kind).toEqual('answer');
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/answers/answerChecks.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/answerChecks.ts
@@ -25,7 +25,7 @@
  * Whether the body has neither a length nor chunks and ends with its connection. Its end may be that of
  * a target that crashed, so it must not be passed on with a length, which would make it look whole.
  */
-export function isUnframed(head: AnswerHead): boolean {
+export function isCloseDelimited(head: AnswerHead): boolean {
   const hasLength = getHeader(head, 'content-length') !== undefined;
   const isChunked = getHeader(head, 'transfer-encoding') !== undefined;
   return !hasLength && !isChunked && head.status !== NO_CONTENT && head.status !== NOT_MODIFIED;
--- a/packages/sequoiarill-plugin-forwarding/src/answers/placement.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/placement.ts
@@ -21,22 +21,23 @@
 }
 
 /** Targets that new work of the request may go to. */
-export function listOpen(
+export function listAvailable(
   dependencies: ListParts,
   request: ServiceRequest,
 ): readonly ForwardingTarget[] {
-  return listKnown(dependencies, request).filter(dependencies.limits.isOpen);
+  return listKnown(dependencies, request).filter(dependencies.limits.isAvailable);
 }
 
 /** Those that only the limits they name keep from it. */
-export function listLimited(
+export function listRateLimited(
   dependencies: ListParts,
   request: ServiceRequest,
   excluded: ReadonlySet<string>,
 ): readonly ForwardingTarget[] {
   const { registry, limits } = dependencies;
   return listKnown(dependencies, request).filter(
-    (target) => !limits.isOpen(target) && !excluded.has(target.id) && !registry.isSuspect(target),
+    (target) =>
+      !limits.isAvailable(target) && !excluded.has(target.id) && !registry.isSuspect(target),
   );
 }
 
@@ -63,7 +64,7 @@
   question: PlacementQuestion,
 ): ForwardingTarget | undefined {
   const { registry } = dependencies;
-  const ready = listOpen(dependencies, question.request);
+  const ready = listAvailable(dependencies, question.request);
   const fresh = ready.filter((target) => !question.excluded.has(target.id));
   const views = fresh.map(registry.buildView);
   const trusted = pickTarget(dependencies, fresh, views, question);
--- a/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
@@ -45,7 +45,7 @@
 }
 
 /** A head that is no answer of the target to this request, as an outcome; the call is given up. */
-export function decideHead(
+export function handleAnswerHead(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   target: ForwardingTarget,
@@ -62,7 +62,7 @@
 }
 
 /** Reads on after the head until the answer is whole. */
-export async function readWhole(
+export async function readFullAnswer(
   call: TargetCall,
   head: AnswerHead,
   readNext: () => Promise<CallEvent>,
@@ -116,8 +116,8 @@
     }
     if (first.kind === 'head') {
       return (
-        decideHead(dependencies, request, target, call, first.head) ??
-        (await readWhole(call, first.head, readNext))
+        handleAnswerHead(dependencies, request, target, call, first.head) ??
+        (await readFullAnswer(call, first.head, readNext))
       );
     }
     return (
--- a/packages/sequoiarill-plugin-forwarding/src/answers/serviceAdmission.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/serviceAdmission.ts
@@ -10,12 +10,12 @@
   request: ForwardRequest,
 ): LatencyAdmissionDecision {
   const { registry, directory } = dependencies;
-  const open = Placement.listOpen(dependencies, request);
+  const open = Placement.listAvailable(dependencies, request);
   const usable = open.filter((target) => !registry.isSuspect(target));
   return dependencies.getAdmission(request.service).decide({
     slots: usable.reduce((sum, { slots }) => sum + slots, 0),
     routers: directory.countRouters(),
-    isReturning: request.isReturning,
+    isReturning: request.isClientRetry,
   });
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/answers/wholeAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/wholeAnswer.ts
@@ -77,8 +77,8 @@
   const question = { request, excluded, purpose: 'first' } as const;
   const target = Placement.chooseTarget(dependencies, question);
   if (target !== undefined) return target;
-  const limited = Placement.listLimited(dependencies, request, excluded);
-  return (await dependencies.limits.borrowPermit(limited))
+  const limited = Placement.listRateLimited(dependencies, request, excluded);
+  return (await dependencies.limits.acquirePermit(limited))
     ? Placement.chooseTarget(dependencies, question)
     : undefined;
 }
@@ -89,7 +89,7 @@
   request: ForwardRequest,
   progress: Progress,
 ): ForwardOutcome {
-  const limited = Placement.listLimited(dependencies, request, progress.excluded);
+  const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
   if (limited.length === 0) return decideEnd(request, progress, false);
   progress.lastReason = Placement.LIMITED_REASON;
   const retryAfterSeconds = dependencies.limits.getRetrySeconds(limited);
@@ -127,7 +127,7 @@
   );
   recordEnd(Sending.decideVersionEnd(outcome));
   if (outcome.kind === 'lost' && !outcome.isSilence) {
-    await dependencies.crashes.recordBreak(request, target);
+    await dependencies.crashes.recordDisconnect(request, target);
   }
   return outcome;
 }
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/__tests__/routers.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/__tests__/routers.ts
@@ -149,7 +149,7 @@
     addRouter,
     crash(router, content, target) {
       const request = { ...Fakes.createRequest(Fakes.createRoute()), contentKey: content };
-      return router.reports.recordBreak(request, Fakes.createTarget(target));
+      return router.reports.recordDisconnect(request, Fakes.createTarget(target));
     },
     countCalls: () => calls,
     stop: () => routers.forEach((router) => router.stop()),
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
@@ -34,7 +34,7 @@
   /** The content was answered in whole. */
   readonly recordAnswer: (content: string) => void;
   /** The target broke off as it began to run the request; counted where it has ended. */
-  readonly recordBreak: (request: ForwardRequest, target: ForwardingTarget) => Promise<void>;
+  readonly recordDisconnect: (request: ForwardRequest, target: ForwardingTarget) => Promise<void>;
   readonly handlers: CrashHandlers;
   /** Takes in what the store tells. */
   readonly applyDirectory: () => void;
@@ -178,7 +178,7 @@
     recordAnswer(content) {
       if (recordAnswer({ content, ageMs: 0 }) !== 'nothing') startAnswerReport(content);
     },
-    async recordBreak(request, target) {
+    async recordDisconnect(request, target) {
       if ((await options.checkEnded(target)) === 'ended') recordCrash(request, target);
       else startAll([checkAgain(request, target)]);
     },
--- a/packages/sequoiarill-plugin-forwarding/src/dependencies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/dependencies.ts
@@ -35,8 +35,11 @@
   readonly peers: Pick<RouterPeers, 'listNearest' | 'borrowRetryQuota'>;
   readonly rollouts: Pick<Rollouts, 'selectTargets' | 'isLeaving' | 'recordSend'>;
   readonly registry: TargetRegistry;
-  readonly crashes: Pick<CrashReports, 'getBlockedMs' | 'recordAnswer' | 'recordBreak'>;
-  readonly limits: Pick<TargetLimits, 'recordHead' | 'isOpen' | 'borrowPermit' | 'getRetrySeconds'>;
+  readonly crashes: Pick<CrashReports, 'getBlockedMs' | 'recordAnswer' | 'recordDisconnect'>;
+  readonly limits: Pick<
+    TargetLimits,
+    'recordHead' | 'isAvailable' | 'acquirePermit' | 'getRetrySeconds'
+  >;
   readonly chooser: TargetChooser;
   readonly log: BoundedLog;
   readonly metrics: Metrics;
--- a/packages/sequoiarill-plugin-forwarding/src/forwardRequest.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/forwardRequest.ts
@@ -22,7 +22,7 @@
   /** The caller's or the route's limit, whichever comes first. */
   readonly expiresAtMs: number;
   /** Its caller has waited for longer than the objective, as told by the time that it still gives. */
-  readonly isReturning: boolean;
+  readonly isClientRetry: boolean;
   /** The last event the caller has, where it comes back for the rest of a stream. */
   readonly lastEventId?: string;
   /** Tokens; 0 where the request names none. */
--- a/packages/sequoiarill-plugin-forwarding/src/front/exchange.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/exchange.ts
@@ -188,7 +188,7 @@
     service,
     arrivedAtMs,
     expiresAtMs: arrivedAtMs + waitMs,
-    isReturning,
+    isClientRetry: isReturning,
     ...(lastEventId === undefined ? {} : { lastEventId }),
     promptTokens: Number.isFinite(promptTokens) ? promptTokens : 0,
     promptParts: dependencies.wire.decodePromptParts(
--- a/packages/sequoiarill-plugin-forwarding/src/front/replies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/replies.ts
@@ -111,7 +111,7 @@
   head: AnswerHead,
   framing: Readonly<Record<string, number>>,
 ): void {
-  const isUnframed = Checks.isUnframed(head);
+  const isUnframed = Checks.isCloseDelimited(head);
   if (isUnframed) response.removeHeader('transfer-encoding');
   response.writeHead(head.status, head.statusMessage, {
     ...Headers.selectAnswered(head.headers),
--- a/packages/sequoiarill-plugin-forwarding/src/register.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/lazyGetter.ts
@@ -1,5 +1,5 @@
 /** Gives one object for each name, made when it is first asked for. */
-export function createRegister<Value>(createValue: () => Value): (name: string) => Value {
+export function createLazyGetter<Value>(createValue: () => Value): (name: string) => Value {
   const values = new Map<string, Value>();
   return (name) => {
     const known = values.get(name);
--- a/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitPlay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitPlay.ts
@@ -94,7 +94,7 @@
   }
 
   async function sendRequest({ limits }: PlayedRouter): Promise<void> {
-    if (!limits.isOpen(target) && !(await limits.borrowPermit([target]))) return;
+    if (!limits.isAvailable(target) && !(await limits.acquirePermit([target]))) return;
     limits.recordSend(target);
     arrivalsMs.push(clock.getNowMs());
     await clock.waitMs(ANSWER_MS);
@@ -141,7 +141,7 @@
       arrivalsMs
         .filter((atMs) => atMs >= sinceMs)
         .reduce((most, atMs) => Math.max(most, countFrom(atMs, atMs + spanMs)), 0),
-    countOpen: () => routers.filter(({ limits }) => limits.isOpen(target)).length,
+    countOpen: () => routers.filter(({ limits }) => limits.isAvailable(target)).length,
     getNowMs: clock.getNowMs,
   };
 }
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -23,10 +23,10 @@
   /** The head of an answer that is the target's own. */
   readonly recordHead: (target: ForwardingTarget, head: AnswerHead) => void;
   /** Whether a request may be sent there now. */
-  readonly isOpen: (target: ForwardingTarget) => boolean;
+  readonly isAvailable: (target: ForwardingTarget) => boolean;
   readonly recordSend: (target: ForwardingTarget) => void;
-  /** Asks other routers for one request to one of the targets; true when `isOpen` holds for one now. */
-  readonly borrowPermit: (targets: readonly ForwardingTarget[]) => Promise<boolean>;
+  /** Asks other routers for one request to one of the targets; true when `isAvailable` holds for one now. */
+  readonly acquirePermit: (targets: readonly ForwardingTarget[]) => Promise<boolean>;
   /** Time until this router may send to one of the targets, seconds. */
   readonly getRetrySeconds: (targets: readonly ForwardingTarget[]) => number;
   /** Answers another router that asks. */
@@ -183,7 +183,7 @@
       const known = perSecond === undefined ? { ageMs: 0 } : { perSecond, ageMs: 0 };
       recordLimit(buildLimited(target), known, true);
     },
-    isOpen(target) {
+    isAvailable(target) {
       if (limits.countTargets() === 0) return true;
       const limited = buildLimited(target);
       const isOpen = limits.isOpen(limited.life, clock.getNowMs());
@@ -191,7 +191,7 @@
       return isOpen;
     },
     recordSend: (target) => limits.recordSend(TargetLives.formatLife(target), clock.getNowMs()),
-    async borrowPermit(targets) {
+    async acquirePermit(targets) {
       for (const target of targets) if (await borrowOne(target)) return true;
       return false;
     },
--- a/packages/sequoiarill-plugin-forwarding/src/plugin.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/plugin.ts
@@ -18,7 +18,7 @@
 import * as Fronts from './front/front';
 import type { RawHeader } from './front/headers';
 import * as TargetLimits from './limits/targetLimits';
-import * as Registers from './register';
+import * as LazyGetters from './lazyGetter';
 import * as RetryQuotas from './retryQuota';
 import * as RouteTables from './front/routeTable';
 import type { RouteTable } from './front/routeTable';
@@ -41,7 +41,7 @@
 > {
   const startedMs = clock.getNowMs();
   return {
-    getBudget: Registers.createRegister(() =>
+    getBudget: LazyGetters.createLazyGetter(() =>
       Decisions.createFleetRetryBudget({
         ratio: settings.repeatRatio,
         slack: settings.repeatSlack,
@@ -50,9 +50,11 @@
         startedMs,
       }),
     ),
-    getAdmission: Registers.createRegister(() => Decisions.createLatencyAdmission({ nextRandom })),
-    getPromptEstimates: Registers.createRegister(Decisions.createPromptEstimates),
-    getStallPolicy: Registers.createRegister<StallPolicy>(Decisions.createStallPolicy),
+    getAdmission: LazyGetters.createLazyGetter(() =>
+      Decisions.createLatencyAdmission({ nextRandom }),
+    ),
+    getPromptEstimates: LazyGetters.createLazyGetter(Decisions.createPromptEstimates),
+    getStallPolicy: LazyGetters.createLazyGetter<StallPolicy>(Decisions.createStallPolicy),
   };
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/retryQuota.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/retryQuota.ts
@@ -25,7 +25,7 @@
 }
 
 /** Until `needed` are at hand here, or nobody is left to ask. */
-export async function borrowRepeats(
+export async function acquireRetryQuota(
   dependencies: ForwardingDependencies,
   request: ForwardRequest,
   budget: FleetRetryBudget,
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/copyCommands.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/copyCommands.test.ts
@@ -21,7 +21,7 @@
     const engine = Fakes.createTarget('a1');
     await orders.createCopy(engine, 'r1', Fakes.createTarget('b1'));
     await orders.releaseCopy(engine, 'h1');
-    const named: EngineCommand['headers'] = [[Fakes.NAMES.expectedTarget, 'a1']];
+    const named: EngineCommand['headers'] = [[Fakes.HEADER_NAMES.expectedTarget, 'a1']];
     expect(sent.map(({ headers }) => headers)).toEqual([named, named]);
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/handover.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/handover.test.ts
@@ -37,7 +37,7 @@
     const { text, outcome } = await Played.playStream(fake);
     expect(outcome?.kind).toEqual('complete');
     expect(text).toEqual(Played.formatAll(EVENTS));
-    const last = fake.sent.at(-1);
+    const last = fake.sentCalls.at(-1);
     expect(last?.target.startsWith('b')).toEqual(true);
     expect(last?.headers.from).not.toEqual(undefined);
   });
@@ -48,6 +48,6 @@
     const { text, outcome } = await Played.playStream(fake);
     expect(outcome?.kind).toEqual('complete');
     expect(text).toEqual(Played.formatAll(EVENTS));
-    expect(fake.sent.every(({ target }) => target.startsWith('a'))).toEqual(true);
+    expect(fake.sentCalls.every(({ target }) => target.startsWith('a'))).toEqual(true);
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
@@ -23,8 +23,8 @@
     fake.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 3 });
     const played = await Played.playStream(fake);
     expect(played.text).toEqual(Played.formatAll(6));
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b1']);
-    expect(fake.sent[1]?.atMs ?? Infinity).toBeLessThan(1_000);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1']);
+    expect(fake.sentCalls[1]?.atMs ?? Infinity).toBeLessThan(1_000);
   });
 
   it('has another copy made when the engine that keeps it is lost', async () => {
@@ -51,8 +51,8 @@
     const played = await playing;
     expect(played.text).toEqual(Played.formatAll(60));
     expect(played.maxGapMs).toBeLessThan(700);
-    expect(fake.orders).toEqual(['a1 to c1']);
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'c1']);
+    expect(fake.commands).toEqual(['a1 to c1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'c1']);
   });
 
   it('goes on within a zone that is cut off just after a crash of its engines', async () => {
@@ -88,7 +88,7 @@
     const [played] = await Promise.all([Played.playStream(fake), zoneBack, zoneCut]);
     expect(played.text).toEqual(Played.formatAll(120));
     expect(played.maxGapMs).toBeLessThan(700);
-    expect(fake.sent.map(({ target }) => target)).toEqual(['b1', 'a1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['b1', 'a1']);
   });
 
   it('stays with its engine when the router is paused and woken', async () => {
@@ -105,7 +105,7 @@
     const paused = fake.clock.waitMs(190).then(() => fake.clock.delay(pauseMs));
     const [played] = await Promise.all([Played.playStream(fake), paused]);
     expect(played.text).toEqual(Played.formatAll(12));
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1']);
   });
 
   it('leaves a prompt with an engine that lives and reads slowly', async () => {
@@ -120,7 +120,7 @@
     fake.reports.set('a1', { ...Fakes.IDLE_REPORT, running: 1, prefilling: 1 });
     const played = await Played.playStream(fake);
     expect(played.text).toEqual(Played.formatAll(3));
-    expect(fake.sent.length).toEqual(1);
+    expect(fake.sentCalls.length).toEqual(1);
   });
 
   it('goes on from the copy within the pause that is on time, when an engine goes dark', async () => {
@@ -140,11 +140,11 @@
     expect(played.text).toEqual(Played.formatAll(12));
     expect(played.outcome?.kind).toEqual('complete');
     expect(played.maxGapMs).toBeLessThan(700);
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b1']);
-    expect(fake.sent[0]?.headers.backup).toEqual('10.0.0.1:b1');
-    expect(fake.sent[1]?.headers.from).toEqual('10.0.0.1:b1/r1');
-    expect(fake.sent[1]?.headers.last).toEqual('5');
-    expect(fake.sent[0]?.isCancelled).toEqual(true);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1']);
+    expect(fake.sentCalls[0]?.headers.backup).toEqual('10.0.0.1:b1');
+    expect(fake.sentCalls[1]?.headers.from).toEqual('10.0.0.1:b1/r1');
+    expect(fake.sentCalls[1]?.headers.last).toEqual('5');
+    expect(fake.sentCalls[0]?.isCancelled).toEqual(true);
   });
 
   it('goes on with a repeat that other routers had left', async () => {
@@ -160,9 +160,9 @@
       fake.setTargets([Fakes.createTarget('a1'), Fakes.createTarget('b1', { zone: 'b' })]);
       fake.reports.set('a1', Fakes.IDLE_REPORT);
       fake.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 3 });
-      lenders.forEach(([router, repeats]) => fake.lenders.set(router, repeats));
+      lenders.forEach(([router, repeats]) => fake.peerRetryQuota.set(router, repeats));
       fake.dependencies.getBudget('engines').grantQuota(0, Number.POSITIVE_INFINITY);
-      return { played: await Played.playStream(fake), lenders: fake.lenders };
+      return { played: await Played.playStream(fake), lenders: fake.peerRetryQuota };
     };
     const alone = await playCut([]);
     expect(alone.played.outcome?.kind).toEqual('broken');
@@ -191,12 +191,12 @@
       const playing = Played.playStream(fake);
       await fake.clock.runFor(0);
       const isLeaving = reason === 'is leaving';
-      if (!isLeaving) fake.limited.add(copy.id);
+      if (!isLeaving) fake.rateLimited.add(copy.id);
       fake.setTargets([running, { ...copy, state: isLeaving ? 'draining' : 'ready' }, other]);
       const played = await playing;
       expect(played.text).toEqual(Played.formatAll(12));
-      expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b2']);
-      expect(fake.sent[1]?.headers.from).toEqual(undefined);
+      expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b2']);
+      expect(fake.sentCalls[1]?.headers.from).toEqual(undefined);
     });
   }
 
@@ -212,7 +212,7 @@
     busy.reports.set('a1', { ...Fakes.IDLE_REPORT, prefilling: 1, running: 1 });
     busy.reports.set('b1', { ...Fakes.IDLE_REPORT, prefilling: 4, running: 4 });
     expect((await Played.playStream(busy)).text).toEqual(Played.formatAll(3));
-    expect(busy.sent.length).toEqual(1);
+    expect(busy.sentCalls.length).toEqual(1);
 
     const restarted = Fakes.createFakeDependencies((target) =>
       target === 'a1' ? [] : Played.createRun(1, 3),
@@ -222,7 +222,7 @@
     restarted.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 2 });
     const played = await Played.playStream(restarted);
     expect(played.text).toEqual(Played.formatAll(3));
-    expect(restarted.sent.map(({ target }) => target)).toEqual(['a1', 'b1']);
+    expect(restarted.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1']);
   });
 
   it('is refused at once when its first event would be late at all engines that were asked', async () => {
@@ -235,7 +235,7 @@
     fake.reports.set('b1', busy);
     const { outcome } = await Played.playStream(fake);
     expect(outcome?.kind).toEqual('refused');
-    expect(fake.sent.length).toEqual(0);
+    expect(fake.sentCalls.length).toEqual(0);
   });
 
   it('tells a caller at once when nothing can go on', async () => {
@@ -248,7 +248,7 @@
     fake.setTargets([Fakes.createTarget('a1')]);
     const lost = await Played.playStream(fake, 10_000);
     expect(lost.outcome?.kind).toEqual('failed');
-    expect(fake.sent.length).toEqual(5);
+    expect(fake.sentCalls.length).toEqual(5);
   });
 
   it('spends no repeats on engines that refuse connections, and lets them come back', async () => {
@@ -289,6 +289,6 @@
     fake.reports.set('c1', { ...Fakes.IDLE_REPORT, running: 5 });
     const played = await Played.playStream(fake);
     expect(played.text).toEqual(Played.formatAll(12));
-    expect(fake.sent.map(({ target }) => target)).toEqual(['a1', 'b1', 'c1']);
+    expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1', 'b1', 'c1']);
   });
 });
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -114,7 +114,7 @@
   hasSettled: boolean,
 ): Promise<void> {
   if (outcome.kind !== 'lost' || outcome.isSilence || hasSettled) return;
-  await crashes.recordBreak(request, target);
+  await crashes.recordDisconnect(request, target);
 }
 
 function createStreamReader(
@@ -167,11 +167,11 @@
   }
 
   async function handleHead(answered: AnswerHead): Promise<Step> {
-    const failure = Sending.decideHead(dependencies, request, target, call, answered);
+    const failure = Sending.handleAnswerHead(dependencies, request, target, call, answered);
     if (failure !== undefined) return failure;
     if (answered.status !== SUCCESS) {
       recordVersion(Checks.isServerError(answered.status) ? 'failed' : 'unknown');
-      return Sending.readWhole(call, answered, readNext);
+      return Sending.readFullAnswer(call, answered, readNext);
     }
     head = answered;
     return undefined;
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
@@ -114,7 +114,7 @@
   );
   const needed = hasEvents ? 1 : 1 + reserve;
   const hasEnough = (): boolean => budget.getBalance(clock.getNowMs()) >= needed;
-  if (!hasEnough()) await RetryQuotas.borrowRepeats(dependencies, request, budget, needed);
+  if (!hasEnough()) await RetryQuotas.acquireRetryQuota(dependencies, request, budget, needed);
   return hasEnough() && budget.takeRetry(clock.getNowMs());
 }
 
@@ -128,7 +128,7 @@
 ): ForwardingTarget | undefined {
   const holder = copy === undefined ? undefined : dependencies.directory.findCurrent(copy.keeper);
   if (holder?.state !== 'ready' || dependencies.rollouts.isLeaving(holder)) return undefined;
-  if (!dependencies.limits.isOpen(holder)) return undefined;
+  if (!dependencies.limits.isAvailable(holder)) return undefined;
   return holder;
 }
 
@@ -189,8 +189,8 @@
   request: ForwardRequest,
   progress: Progress,
 ): ReturnType<typeof createPlan> {
-  const limited = Placement.listLimited(dependencies, request, progress.excluded);
-  const isLent = await dependencies.limits.borrowPermit(limited);
+  const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
+  const isLent = await dependencies.limits.acquirePermit(limited);
   return isLent ? createPlan(dependencies, request, progress) : undefined;
 }
 
@@ -207,7 +207,7 @@
   request: ForwardRequest,
   progress: Progress,
 ): StreamOutcome {
-  const limited = Placement.listLimited(dependencies, request, progress.excluded);
+  const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
   if (limited.length === 0) return decideEnd(progress, progress.lastReason, false);
   const retryAfterSeconds = dependencies.limits.getRetrySeconds(limited);
   const end = decideEnd(progress, Placement.LIMITED_REASON, false);
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -89,7 +89,7 @@
   head: AnswerHead,
   fresh: readonly EventBlock[],
 ): void {
-  progress.isFramed ??= !Checks.isUnframed(head);
+  progress.isFramed ??= !Checks.isCloseDelimited(head);
   progress.hasEvents = true;
   progress.models ??= target.models;
   progress.lastEventId = fresh.at(-1)?.id ?? progress.lastEventId;
@@ -122,7 +122,9 @@
  */
 function decideFramedEnd(outcome: AttemptOutcome, progress: Progress): AttemptOutcome {
   const isDoubtful =
-    outcome.kind === 'complete' && progress.isFramed === true && Checks.isUnframed(outcome.head);
+    outcome.kind === 'complete' &&
+    progress.isFramed === true &&
+    Checks.isCloseDelimited(outcome.head);
   return isDoubtful ? { kind: 'lost', reason: 'end without framing', isSilence: false } : outcome;
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/enginePlacements.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/enginePlacements.test.ts
@@ -20,10 +20,10 @@
   fake.setTargets(engines);
   engines.forEach(({ id }) => {
     fake.reports.set(id, Fakes.IDLE_REPORT);
-    fake.kept.set(id, new Map());
-    fake.answerMs.set(id, answerMs);
+    fake.cachedParts.set(id, new Map());
+    fake.responseDelayMs.set(id, answerMs);
   });
-  fake.kept.set('b2', new Map(PARTS.map(({ id, tokens }) => [id, tokens])));
+  fake.cachedParts.set('b2', new Map(PARTS.map(({ id, tokens }) => [id, tokens])));
   return fake;
 }
 
@@ -58,7 +58,7 @@
     // Guards against callers that come back after a crash and wait for engines that are gone.
     const fake = createKeptPrompt(1);
     fake.reports.delete('a1');
-    fake.kept.delete('a1');
+    fake.cachedParts.delete('a1');
     const { target, placedMs } = await playReturn(fake);
     expect(target).toEqual('b2');
     expect(placedMs).toBeLessThanOrEqual(40);
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -34,7 +34,7 @@
   excluded: ReadonlySet<string>,
 ): Promise<EnginePair | undefined> {
   dependencies.getPromptEstimates(request.service).recordRequest(request.promptTokens);
-  const ready = Placement.listOpen(dependencies, request);
+  const ready = Placement.listAvailable(dependencies, request);
   const asked = new Set(excluded);
   for (let round = 0; round < MAX_ROUNDS; round += 1) {
     const sample = sampleEngines(dependencies, request, ready, asked);
@@ -143,7 +143,7 @@
 
 /** Whether some engine of this router's zone could keep a copy now. */
 export function isHomeOpen(dependencies: ForwardingDependencies, request: ForwardRequest): boolean {
-  return Placement.listOpen(dependencies, request).some(
+  return Placement.listAvailable(dependencies, request).some(
     (engine) => engine.zone === dependencies.zone && !dependencies.registry.isSuspect(engine),
   );
 }
@@ -154,7 +154,9 @@
   request: ForwardRequest,
   { models }: ForwardingTarget,
 ): readonly ForwardingTarget[] {
-  const open = Placement.listOpen(dependencies, request).filter((other) => other.models === models);
+  const open = Placement.listAvailable(dependencies, request).filter(
+    (other) => other.models === models,
+  );
   if (open.length > 1) return open;
   // A version on probation may have one target for new work; the others can keep copies.
   const all = dependencies.directory.listTargets(request.service);
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
@@ -3,7 +3,7 @@
 import type { TargetView } from '@sequoiarill/decisions';
 import type { EngineReport, ForwardingTarget } from '@sequoiarill/types';
 
-import * as Registers from '../register';
+import * as LazyGetters from '../lazyGetter';
 
 export interface TargetRegistry {
   /** A request was placed there and will be sent in a moment, unless it is given up. */
@@ -56,7 +56,7 @@
 
 export function createTargetRegistry(getNowMs: () => number): TargetRegistry {
   const entries = new Map<string, Entry>();
-  const getDetector = Registers.createRegister(() => Decisions.createOutlierDetector());
+  const getDetector = LazyGetters.createLazyGetter(() => Decisions.createOutlierDetector());
   const suspicion = Decisions.createSuspectTracker();
 
   function getEntry(target: ForwardingTarget): Entry {
