--- a/packages/sequoiarill-plugin-forwarding/src/metrics.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/metrics.ts
@@ -10,22 +10,26 @@
 
 export const METRICS = [
   { name: REQUESTS, unit: 'count', meaning: 'Requests ended, by route and outcome.' },
-  { name: ANSWER, unit: 'ms', meaning: 'Arrival of a request until its whole answer, by route.' },
+  {
+    name: ANSWER,
+    unit: 'ms',
+    meaning: 'Time from arrival of a request to its complete answer, by route.',
+  },
   {
     name: FIRST_EVENT,
     unit: 'ms',
-    meaning: 'Arrival until the first event of a stream, by route.',
+    meaning: 'Time from arrival of a request to the first event of its stream, by route.',
   },
   {
     name: PAUSE,
     unit: 'ms',
-    meaning: 'Longest pause between two events of a stream, by route.',
+    meaning: 'Longest pause between two consecutive events of a stream, by route.',
   },
-  { name: CONTINUED, unit: 'count', meaning: 'Streams that went to another target, by cause.' },
+  { name: CONTINUED, unit: 'count', meaning: 'Streams continued on another target, by cause.' },
   {
     name: COPIES,
     unit: 'count',
-    meaning: "Copies of a run's memory that were ordered after their keeper was lost, by outcome.",
+    meaning: 'Copies of a KV cache that were commanded after the loss of their holder, by outcome.',
   },
-  { name: REPEATED, unit: 'count', meaning: 'Requests sent to a further target.' },
+  { name: REPEATED, unit: 'count', meaning: 'Retries of requests on another target.' },
 ] as const;
