--- a/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
@@ -97,7 +97,7 @@
 ): ForwardOutcome {
   const rateLimited = Placement.listRateLimited(dependencies, request, progress.excluded);
   if (rateLimited.length === 0) return decideEnd(request, progress, false);
-  progress.lastReason = Placement.LIMITED_REASON;
+  progress.lastReason = Placement.RATE_LIMITED_REASON;
   const retryAfterSeconds = dependencies.limits.getRetrySeconds(rateLimited);
   return ForwardRequests.setRetryAfter(decideEnd(request, progress, false), retryAfterSeconds);
 }
@@ -132,7 +132,7 @@
     dependencies.clock.getNowMs(),
   );
   recordEnd(Sending.decideVersionResult(outcome));
-  if (outcome.kind === 'lost' && !outcome.isSilence) {
+  if (outcome.kind === 'lost' && !outcome.isTimeout) {
     await dependencies.crashes.recordDisconnect(request, target);
   }
   return outcome;
@@ -211,7 +211,7 @@
     return undefined;
   }
   if (!isSingleAttempt) return undefined;
-  const isLate = outcome.kind === 'lost' && outcome.isSilence;
+  const isLate = outcome.kind === 'lost' && outcome.isTimeout;
   return { kind: 'failed', reason: progress.lastReason, isLate, ...getLastTarget(progress) };
 }
 
@@ -250,7 +250,7 @@
   // A single lost answer says little about a target that accepts connections; several in a row do.
   if (outcome.kind === 'notSent') registry.recordLoss(target);
   else registry.recordFailure(target);
-  if (outcome.kind === 'lost' && outcome.isSilence) dependencies.renewConnections(target);
+  if (outcome.kind === 'lost' && outcome.isTimeout) dependencies.renewConnections(target);
   log.logEvent(Events.TARGET_LOST, {
     request: request.id,
     target: target.id,
--- a/packages/sequoiarill-plugin-forwarding/src/answers/placement.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/placement.ts
@@ -45,7 +45,7 @@
 }
 
 /** Reason, for log lines and callers, of refusing a request because of rate limits. */
-export const LIMITED_REASON = 'the rate limits of its targets allow no more requests for now';
+export const RATE_LIMITED_REASON = 'the rate limits of its targets allow no more requests for now';
 
 export interface PlacementQuery {
   readonly request: ForwardRequest;
--- a/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
@@ -15,7 +15,7 @@
   if (event.kind === 'cancelled') return { kind: 'callerLeft' };
   if (event.kind !== 'broken') return undefined;
   const { reason } = event;
-  return call.wasSent() ? { kind: 'lost', reason, isSilence: false } : { kind: 'notSent', reason };
+  return call.wasSent() ? { kind: 'lost', reason, isTimeout: false } : { kind: 'notSent', reason };
 }
 
 /** Status of a response from another target that now has the address. */
@@ -58,7 +58,7 @@
   if (result.kind === 'valid') return undefined;
   if (result.kind === 'notRun') return result;
   call.cancel();
-  return { kind: 'lost', reason: result.reason, isSilence: false };
+  return { kind: 'lost', reason: result.reason, isTimeout: false };
 }
 
 /** Reads the body after the head until the answer is complete. */
@@ -76,7 +76,7 @@
       bytes += event.chunk.length;
       if (bytes > MAX_ANSWER_BYTES) {
         call.cancel();
-        return { kind: 'lost', reason: 'answer exceeds the size limit', isSilence: false };
+        return { kind: 'lost', reason: 'answer exceeds the size limit', isTimeout: false };
       }
     } else if (event.kind === 'end') {
       return { kind: 'whole', head, body: Buffer.concat(chunks, bytes) };
@@ -85,7 +85,7 @@
       return {
         kind: 'lost',
         reason: 'no further data within the timeout in the middle of an answer',
-        isSilence: true,
+        isTimeout: true,
       };
     } else {
       const failure = decideFailure(call, event);
@@ -115,7 +115,7 @@
     if (firstEvent.kind === 'timeout') {
       call.cancel();
       return call.wasSent()
-        ? { kind: 'lost', reason: 'silent', isSilence: true }
+        ? { kind: 'lost', reason: 'silent', isTimeout: true }
         : { kind: 'notSent', reason: 'no connection in time' };
     }
     if (firstEvent.kind === 'head') {
@@ -128,7 +128,7 @@
       decideFailure(call, firstEvent) ?? {
         kind: 'lost',
         reason: 'no status line',
-        isSilence: false,
+        isTimeout: false,
       }
     );
   } finally {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAnswer.ts
@@ -96,7 +96,7 @@
   if (outcome.kind === 'notRun') Sending.recordNotRun(dependencies, target, outcome.status);
   else if (outcome.kind === 'whole') dependencies.registry.recordFailure(target);
   else dependencies.registry.recordLoss(target);
-  if (outcome.kind === 'lost' && outcome.isSilence) dependencies.renewConnections(target);
+  if (outcome.kind === 'lost' && outcome.isTimeout) dependencies.renewConnections(target);
 }
 
 function logContinued(
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -113,7 +113,7 @@
   outcome: AttemptOutcome,
   hasSettled: boolean,
 ): Promise<void> {
-  if (outcome.kind !== 'lost' || outcome.isSilence || hasSettled) return;
+  if (outcome.kind !== 'lost' || outcome.isTimeout || hasSettled) return;
   await crashes.recordDisconnect(request, target);
 }
 
@@ -179,7 +179,7 @@
 
   function handleData(chunk: Buffer): Step {
     const blocks = splitter.addBytes(chunk);
-    if (blocks === undefined) return { kind: 'lost', reason: 'over-long event', isSilence: false };
+    if (blocks === undefined) return { kind: 'lost', reason: 'over-long event', isTimeout: false };
     if (blocks.length === 0 || head === undefined) return undefined;
     recordEvents();
     return { head, blocks };
@@ -187,7 +187,7 @@
 
   function handleEnd(): Step {
     if (head === undefined || splitter.hasRest()) {
-      return { kind: 'lost', reason: 'ended in an event', isSilence: false };
+      return { kind: 'lost', reason: 'ended in an event', isTimeout: false };
     }
     return { kind: 'complete', head };
   }
@@ -225,7 +225,7 @@
     // It may have spoken while it was asked.
     const event = await call.readEvent(0);
     if (event.kind !== 'timeout') return handleEvent(event);
-    return { kind: 'lost', reason: 'silent', isSilence: true };
+    return { kind: 'lost', reason: 'silent', isTimeout: true };
   }
 
   async function handleEvent(event: CallEvent): Promise<Step> {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
@@ -210,7 +210,7 @@
   const limited = Placement.listRateLimited(dependencies, request, progress.excluded);
   if (limited.length === 0) return decideEnd(progress, progress.lastReason, false);
   const retryAfterSeconds = dependencies.limits.getRetrySeconds(limited);
-  const end = decideEnd(progress, Placement.LIMITED_REASON, false);
+  const end = decideEnd(progress, Placement.RATE_LIMITED_REASON, false);
   return ForwardRequests.setRetryAfter(end, retryAfterSeconds);
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -66,7 +66,7 @@
       const { head, blocks } = step.value;
       hasMadeEvents = true;
       const fresh = selectFresh(blocks, progress.lastEventId);
-      if (fresh === 'gap') return { kind: 'lost', reason: 'events are missing', isSilence: false };
+      if (fresh === 'gap') return { kind: 'lost', reason: 'events are missing', isTimeout: false };
       watch.update();
       if (fresh.length > 0) {
         if (!progress.hasEvents) yield { kind: 'head', head };
@@ -125,7 +125,7 @@
     outcome.kind === 'complete' &&
     progress.isFramed === true &&
     Checks.isCloseDelimited(outcome.head);
-  return isDoubtful ? { kind: 'lost', reason: 'end without framing', isSilence: false } : outcome;
+  return isDoubtful ? { kind: 'lost', reason: 'end without framing', isTimeout: false } : outcome;
 }
 
 /**
