--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
@@ -192,11 +192,11 @@
   const commands: string[] = [];
   const rateLimited = new Set<string>();
   let targets: readonly ForwardingTarget[] = [];
-  let drawn = 0;
+  let lastRandom = 0;
   /** Evenly distributed and the same in each run. */
   const nextRandom = () => {
-    drawn = (drawn + 0.382) % 1;
-    return drawn;
+    lastRandom = (lastRandom + 0.382) % 1;
+    return lastRandom;
   };
   async function readResponse<Response>(
     { id }: ForwardingTarget,
--- a/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
@@ -195,14 +195,14 @@
   progress: Progress,
   outcome: Exclude<SendOutcome, { kind: 'callerLeft' }>,
 ): ForwardOutcome | undefined {
-  const isSingleAttempt = request.route.retryPolicy === 'once';
+  const isAtMostOnce = request.route.retryPolicy === 'once';
   progress.lastReason = Sending.formatReason(outcome);
   if (outcome.kind === 'notSent') return undefined;
   progress.sends += 1;
   if (outcome.kind === 'notRun') return undefined;
   progress.mayHaveRun = true;
   if (outcome.kind === 'whole') {
-    if (isSingleAttempt || !Checks.isServerError(outcome.head.status)) {
+    if (isAtMostOnce || !Checks.isServerError(outcome.head.status)) {
       return { kind: 'answer', head: outcome.head, body: outcome.body };
     }
     progress.lastFailure = outcome;
@@ -210,7 +210,7 @@
     if (progress.serverErrors > MAX_SERVER_ERRORS) return decideEnd(request, progress, false);
     return undefined;
   }
-  if (!isSingleAttempt) return undefined;
+  if (!isAtMostOnce) return undefined;
   const isLate = outcome.kind === 'lost' && outcome.isTimeout;
   return { kind: 'failed', reason: progress.lastReason, isLate, ...getLastTarget(progress) };
 }
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/__tests__/routerSimulation.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/__tests__/routerSimulation.ts
@@ -44,10 +44,10 @@
   let isolatedZone: number | undefined;
   let revision = 0;
   let calls = 0;
-  let drawn = 0;
+  let lastRandom = 0;
   const nextRandom = () => {
-    drawn = (drawn + 0.382) % 1;
-    return drawn;
+    lastRandom = (lastRandom + 0.382) % 1;
+    return lastRandom;
   };
 
   function findZone(name: string): number {
@@ -80,7 +80,7 @@
 
   function addRouter(): SimulatedRouter {
     const name = `10.0.0.1:${routers.length}`;
-    const stopping = new AbortController();
+    const stopController = new AbortController();
     const reports = CrashReports.createCrashReports({
       clock,
       nextRandom,
@@ -133,10 +133,10 @@
     });
     handlers.set(name, reports.handlers);
     const zone = findZone(name);
-    const router = { name, zone, reports, stop: () => stopping.abort() };
+    const router = { name, zone, reports, stop: () => stopController.abort() };
     routers.push(router);
     if (canReachStore(name)) reports.applyDirectory();
-    reports.run(stopping.signal).catch(() => undefined);
+    reports.run(stopController.signal).catch(() => undefined);
     return router;
   }
 
--- a/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitSimulation.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitSimulation.ts
@@ -54,10 +54,10 @@
   const arrivalsMs: number[] = [];
   let limit: number | undefined;
   let isolatedZone: string | undefined;
-  let drawn = 0;
+  let lastRandom = 0;
   const nextRandom = () => {
-    drawn = (drawn + 0.382) % 1;
-    return drawn;
+    lastRandom = (lastRandom + 0.382) % 1;
+    return lastRandom;
   };
 
   function isDisconnected(from: string, to: string): boolean {
