--- a/bench/src/membershipSlopes.ts
+++ b/bench/src/membershipSlopes.ts
@@ -52,7 +52,7 @@
 
 function createConfiguration(): ConfigurationExchange {
   const news: ConfigurationAnnouncement = { readerFence: 1, readerBeat: 1, revision: 1 };
-  return { getNews: () => news, listSectionsAfter: () => [], mergeSections: () => undefined };
+  return { getAnnouncement: () => news, listSectionsAfter: () => [], mergeSections: () => undefined };
 }
 
 function createRouter(index: number, getNowMs: () => number, nextRandom: () => number): Router {
--- a/packages/sequoiarill-plugin-directory/src/peerClient.ts
+++ b/packages/sequoiarill-plugin-directory/src/peerClient.ts
@@ -1,12 +1,12 @@
 /** Reads the directory of other routers and borrows repeats of them, over tRPC. */
 import * as Kernel from '@sequoiarill/kernel';
 import type {
-  BlocksOutcome,
+  BlockExchangeOutcome,
   Clock,
   ContentAnswer,
   ContentBlock,
   Crash,
-  CrashesOutcome,
+  CrashReportOutcome,
   GuidanceOutcome,
   HeaderNames,
   RetryQuotaOutcome,
@@ -31,15 +31,15 @@
   ) => Promise<PeerAnswer>;
   readonly borrowRepeats: (address: string, loan: RetryQuotaRequest) => Promise<RetryQuotaOutcome>;
   readonly sendReport: (address: string, report: RolloutReport) => Promise<GuidanceOutcome>;
-  readonly reportCrashes: (address: string, crashes: readonly Crash[]) => Promise<CrashesOutcome>;
+  readonly reportCrashes: (address: string, crashes: readonly Crash[]) => Promise<CrashReportOutcome>;
   readonly reportAnswers: (
     address: string,
     answers: readonly ContentAnswer[],
-  ) => Promise<CrashesOutcome>;
+  ) => Promise<CrashReportOutcome>;
   readonly exchangeBlocks: (
     address: string,
     blocks: readonly ContentBlock[],
-  ) => Promise<BlocksOutcome>;
+  ) => Promise<BlockExchangeOutcome>;
   readonly borrowPermits: (address: string, question: PermitsRequest) => Promise<PermitsOutcome>;
   readonly close: () => Promise<void>;
 }
--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/fakeDependencies.ts
@@ -246,7 +246,7 @@
     rollouts: {
       selectTargets: (all) => all,
       isLeaving: () => false,
-      recordSend: () => () => undefined,
+      recordAttempt: () => () => undefined,
     },
     registry,
     crashes: {
--- a/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/__tests__/pure.test.ts
@@ -167,10 +167,10 @@
 
   it('exclude events that the caller has received, and reveal a gap', () => {
     const blocks = ['4', '5', '6'].map(createBlock);
-    const fresh = StreamRelays.selectFresh(blocks, '5');
+    const fresh = StreamRelays.selectNewBlocks(blocks, '5');
     expect(fresh === 'gap' ? fresh : fresh.map(({ id }) => id)).toEqual(['6']);
-    expect(StreamRelays.selectFresh(blocks, '2')).toEqual('gap');
-    expect(StreamRelays.selectFresh([createBlock('1'), createBlock('3')], undefined)).toEqual(
+    expect(StreamRelays.selectNewBlocks(blocks, '2')).toEqual('gap');
+    expect(StreamRelays.selectNewBlocks([createBlock('1'), createBlock('3')], undefined)).toEqual(
       'gap',
     );
   });
--- a/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
@@ -121,7 +121,7 @@
   const admission = dependencies.getAdmission(request.service);
   const sentAtMs = dependencies.clock.getNowMs();
   const { name: route, objectiveMs } = request.route;
-  const recordEnd = dependencies.rollouts.recordSend({ target, route, objectiveMs });
+  const recordEnd = dependencies.rollouts.recordAttempt({ target, route, objectiveMs });
   admission.recordStart();
   const outcome = await Sending.sendOnce(dependencies, request, target, attemptTimeoutMs);
   ServiceAdmissions.recordSend(
--- a/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/sending.ts
@@ -40,7 +40,7 @@
   target: ForwardingTarget,
   status: number,
 ): void {
-  if (status === MISDIRECTED) registry.recordReplaced(target);
+  if (status === MISDIRECTED) registry.recordReplacement(target);
   else registry.recordFailure(target);
 }
 
@@ -106,9 +106,9 @@
   const mayCancel = request.route.retryPolicy !== 'once';
   if (mayCancel) request.closed.addEventListener('abort', call.cancel, { once: true });
   const { clock } = dependencies;
-  const silentUntilMs = clock.getRunningMs() + timeoutMs;
-  const deadlines = { silentUntilMs, expiresAtMs: request.expiresAtMs };
-  const readNext = () => TargetCalls.readPatiently(clock, call, deadlines);
+  const silenceDeadlineMs = clock.getRunningMs() + timeoutMs;
+  const deadlines = { silenceDeadlineMs, expiresAtMs: request.expiresAtMs };
+  const readNext = () => TargetCalls.readNextEvent(clock, call, deadlines);
   const recordEnd = dependencies.registry.recordStart(target);
   try {
     const firstEvent = await readNext();
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/crashAggregators.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/crashAggregators.ts
@@ -1,9 +1,9 @@
 /** Selects the routers that count the crashes of a content (its aggregators) and sends reports to them. */
 import * as Decisions from '@sequoiarill/decisions';
-import type { Clock, CrashesOutcome, RouterPeers } from '@sequoiarill/types';
+import type { Clock, CrashReportOutcome, RouterPeers } from '@sequoiarill/types';
 
 /** Sends a report of an event of the given age to one router. */
-export type SendReport = (router: string, ageMs: number) => Promise<CrashesOutcome>;
+export type SendReport = (router: string, ageMs: number) => Promise<CrashReportOutcome>;
 
 export interface CrashAggregators {
   /** Whether this router ranks among the aggregators of the content. */
--- a/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/crashes/crashReports.ts
@@ -23,7 +23,7 @@
 import type { RateLimitedLog } from '../rateLimitedLog';
 import type { ForwardRequest } from '../forwardRequest';
 import * as Events from '../events';
-import * as TargetLives from '../targets/targetLife';
+import * as TargetIncarnations from '../targets/targetLife';
 import * as BlockEntries from './blockEntry';
 import * as CrashAggregators from './crashAggregators';
 import type { ExitCheck } from './exitCheck';
@@ -128,7 +128,7 @@
     target: ForwardingTarget,
   ): void {
     log.logEvent(Events.TARGET_ENDED, { request: id, content, target: target.id });
-    runInBackground([reportCrash({ content, target: TargetLives.formatLife(target), ageMs: 0 })]);
+    runInBackground([reportCrash({ content, target: TargetIncarnations.formatIncarnation(target), ageMs: 0 })]);
   }
 
   function logUncountedDisconnect(
--- a/packages/sequoiarill-plugin-forwarding/src/front/replies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/replies.ts
@@ -171,7 +171,7 @@
       });
       sendHead(dependencies, response, part.head, {});
     } else {
-      timing.recordPiece(dependencies.clock.getNowMs());
+      timing.recordEvents(dependencies.clock.getNowMs());
       if (!response.write(part.bytes)) await waitForDrain(response, request.closed);
     }
   }
--- a/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitSimulation.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/__tests__/limitSimulation.ts
@@ -84,7 +84,7 @@
           if (!canAcquirePermits || grantPermits === undefined || isDisconnected(address, peer)) {
             return { kind: 'failed', reason: 'unreachable' };
           }
-          return { kind: 'lent', lent: grantPermits(request) };
+          return { kind: 'lent', granted: grantPermits(request) };
         },
       },
       ...(options.countSenders === undefined ? {} : { countSenders: options.countSenders }),
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -16,7 +16,7 @@
 import type { RateLimitedLog } from '../rateLimitedLog';
 import * as Events from '../events';
 import type { AnswerHead } from '../forwardRequest';
-import * as TargetLives from '../targets/targetLife';
+import * as TargetIncarnations from '../targets/targetLife';
 import * as LimitUpdates from './limitUpdates';
 
 export interface TargetLimits {
@@ -70,7 +70,7 @@
 }
 
 function buildRateLimitedTarget(target: ForwardingTarget): RateLimitedTarget {
-  return { life: TargetLives.formatLife(target), zone: target.zone };
+  return { life: TargetIncarnations.formatIncarnation(target), zone: target.zone };
 }
 
 export function createTargetLimits(options: TargetLimitsOptions): TargetLimits {
@@ -114,10 +114,10 @@
       log.logEvent(Events.LENDER_SILENT, { peer: sender, target: life, reason: outcome.reason });
       return false;
     }
-    const { lent } = outcome;
-    if (lent.known !== undefined) recordLimit(target, lent.known);
-    shares.recordBorrowed(life, lent.permits, clock.getNowMs());
-    return lent.permits > 0;
+    const { granted: granted } = outcome;
+    if (granted.known !== undefined) recordLimit(target, granted.known);
+    shares.recordBorrowed(life, granted.permits, clock.getNowMs());
+    return granted.permits > 0;
   }
 
   /**
@@ -190,14 +190,14 @@
       if (!isAvailable) updateLimit(limited);
       return isAvailable;
     },
-    recordSend: (target) => shares.recordSend(TargetLives.formatLife(target), clock.getNowMs()),
+    recordSend: (target) => shares.recordSend(TargetIncarnations.formatIncarnation(target), clock.getNowMs()),
     async acquirePermit(targets) {
       for (const target of targets) if (await acquireOne(target)) return true;
       return false;
     },
     getRetrySeconds(targets) {
       const waitsMs = targets
-        .map((target) => shares.getWaitMs(TargetLives.formatLife(target), clock.getNowMs()))
+        .map((target) => shares.getWaitMs(TargetIncarnations.formatIncarnation(target), clock.getNowMs()))
         .filter((waitMs) => waitMs !== undefined);
       const { min, max, unknown } = RETRY_SECONDS;
       const seconds = waitsMs.length === 0 ? unknown : Math.min(...waitsMs) / MS_PER_SECOND;
--- a/packages/sequoiarill-plugin-forwarding/src/plugin.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/plugin.ts
@@ -170,7 +170,7 @@
     clientRetries: Decisions.createClientRetryDetector(),
   };
 
-  rollouts.setInFlightReader(registry.getInFlight);
+  rollouts.setInFlightCounter(registry.getInFlight);
   peers.setCrashHandlers(crashes.handlers);
   peers.setPermitsLender(limits.grantPermits);
   peers.setRetryQuotaLender((query) => RetryQuotas.grantRetryQuota(dependencies, query));
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamTiming.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamTiming.test.ts
@@ -7,7 +7,7 @@
 
 function readTiming(arrivedAtMs: number, pieces: readonly number[]) {
   const timing = StreamTimings.createStreamTiming(arrivedAtMs);
-  pieces.forEach(timing.recordPiece);
+  pieces.forEach(timing.recordEvents);
   return timing.read();
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -133,17 +133,17 @@
   const checkMs = request.route.objectiveMs / CHECKS_PER_OBJECTIVE;
   const firstEventDueMs = startedMs + limits.firstTokenMs;
   let lastEventMs = startedMs;
-  let silentUntilMs = Math.min(firstEventDueMs, startedMs + checkMs);
+  let silenceDeadlineMs = Math.min(firstEventDueMs, startedMs + checkMs);
   let missedChecks = 0;
   let hasEvents = false;
   let firstEventMs = Number.POSITIVE_INFINITY;
   let head: AnswerHead | undefined;
   const { name: route, objectiveMs } = request.route;
-  const recordVersion = dependencies.rollouts.recordSend({ target, route, objectiveMs });
+  const recordVersion = dependencies.rollouts.recordAttempt({ target, route, objectiveMs });
 
   function readNext(): Promise<CallEvent> {
     const { expiresAtMs } = request;
-    return TargetCalls.readPatiently(clock, call, { silentUntilMs, expiresAtMs });
+    return TargetCalls.readNextEvent(clock, call, { silenceDeadlineMs: silenceDeadlineMs, expiresAtMs });
   }
 
   function recordFirstEvent(ms: number): void {
@@ -160,10 +160,10 @@
       firstEventMs = nowMs;
       recordFirstEvent(nowMs - startedMs);
     }
-    dependencies.registry.recordSign(target);
+    dependencies.registry.recordAlive(target);
     hasEvents = true;
     lastEventMs = nowMs;
-    silentUntilMs = nowMs + limits.gapMs;
+    silenceDeadlineMs = nowMs + limits.gapMs;
   }
 
   async function handleHead(answered: AnswerHead): Promise<Step> {
@@ -201,7 +201,7 @@
     const waitsUntilMs = lastEventMs + (order.hasCopy() || !hasEvents ? patienceMs : NO_COPY_MS);
     if (clock.getRunningMs() >= waitsUntilMs) return false;
     const report = await dependencies.readReport(target, PROBE_WAIT_MS);
-    silentUntilMs = waitsUntilMs;
+    silenceDeadlineMs = waitsUntilMs;
     if (report === undefined) return false;
     if (hasEvents) return report.runIds.includes(request.id) || report.queued > 0;
     return report.prefilling + report.queued > 0;
@@ -212,7 +212,7 @@
     const report = await dependencies.readReport(target, CHECK_WAIT_MS);
     missedChecks = report === undefined ? missedChecks + 1 : 0;
     const nextCheckMs = clock.getRunningMs() + (missedChecks > 0 ? 0 : checkMs);
-    silentUntilMs = Math.min(firstEventDueMs, nextCheckMs);
+    silenceDeadlineMs = Math.min(firstEventDueMs, nextCheckMs);
     return missedChecks < MAX_MISSED_CHECKS;
   }
 
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -65,7 +65,7 @@
       }
       const { head, blocks } = step.value;
       hasMadeEvents = true;
-      const fresh = selectFresh(blocks, progress.lastEventId);
+      const fresh = selectNewBlocks(blocks, progress.lastEventId);
       if (fresh === 'gap') return { kind: 'lost', reason: 'events are missing', isTimeout: false };
       watch.update();
       if (fresh.length > 0) {
@@ -132,7 +132,7 @@
  * Failure: a target goes on too early or too late, and an event comes twice or is missing. Ids rise by
  * one, so events that were passed on are left out, and a hole is a loss.
  */
-export function selectFresh(
+export function selectNewBlocks(
   blocks: readonly EventBlock[],
   lastEventId: string | undefined,
 ): readonly EventBlock[] | 'gap' {
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamTiming.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamTiming.ts
@@ -3,7 +3,7 @@
 
 export interface StreamTiming {
   /** Some events are passed on to the caller. */
-  readonly recordPiece: (nowMs: number) => void;
+  readonly recordEvents: (nowMs: number) => void;
   readonly read: () => TimingSummary;
 }
 
@@ -22,7 +22,7 @@
   let longestPauseMs = 0;
   let pauseEndedAtMs = arrivedAtMs;
   return {
-    recordPiece(nowMs) {
+    recordEvents(nowMs) {
       if (firstAtMs === undefined) firstAtMs = nowMs;
       else if (nowMs - lastAtMs > longestPauseMs) {
         longestPauseMs = nowMs - lastAtMs;
--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineCalls.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineCalls.ts
@@ -38,12 +38,12 @@
       headers: body === undefined ? headers : [['content-type', 'application/json'], ...headers],
       body: Buffer.from(body ?? ''),
     });
-    const silentUntilMs = clock.getRunningMs() + limitMs;
-    const limits = { silentUntilMs, expiresAtMs: Number.POSITIVE_INFINITY };
+    const silenceDeadlineMs = clock.getRunningMs() + limitMs;
+    const limits = { silenceDeadlineMs, expiresAtMs: Number.POSITIVE_INFINITY };
     const chunks: Buffer[] = [];
     let head: AnswerHead | undefined;
     for (;;) {
-      const event = await TargetCalls.readPatiently(clock, call, limits);
+      const event = await TargetCalls.readNextEvent(clock, call, limits);
       if (event.kind === 'head') head = event.head;
       else if (event.kind === 'data') chunks.push(event.chunk);
       else {
--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineProbes.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineProbes.ts
@@ -59,9 +59,9 @@
   }
 
   function isDoubtful(target: ForwardingTarget): boolean {
-    if (registry.isUnproved(target)) return true;
+    if (registry.isUnverified(target)) return true;
     if (directory.isUpToDate()) return false;
-    const provedAtMs = registry.getProvedAtMs(target);
+    const provedAtMs = registry.getVerifiedAtMs(target);
     return provedAtMs === undefined || clock.getNowMs() - provedAtMs > PROOF_LIFE_MS;
   }
 
@@ -82,8 +82,8 @@
   async function findLife(target: ForwardingTarget): Promise<string | undefined> {
     if (!isDoubtful(target)) return target.id;
     const id = await readIdentity(target);
-    if (id === target.id) registry.recordProof(target);
-    else if (id !== undefined) registry.recordReplaced(target);
+    if (id === target.id) registry.recordVerified(target);
+    else if (id !== undefined) registry.recordReplacement(target);
     return id;
   }
 
@@ -116,7 +116,7 @@
       return undefined;
     }
     registry.recordReport(target, report);
-    registry.recordSign(target);
+    registry.recordAlive(target);
     freshByTarget.set(target.id, { target, report, atMs: clock.getNowMs() });
     return report;
   }
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetCall.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetCall.ts
@@ -40,24 +40,24 @@
 const MIN_REST_MS = 10;
 
 /** Until when an event is waited for. */
-export interface ReadLimits {
+export interface ReadDeadlines {
   /** In running time: a target is not silent while this process is paused. */
-  readonly silentUntilMs: number;
+  readonly silenceDeadlineMs: number;
   /** The caller's deadline, monotonic milliseconds; it goes on during a pause. */
   readonly expiresAtMs: number;
 }
 
 /** The next event, or `timeout` when one of the limits is over. */
-export async function readPatiently(
+export async function readNextEvent(
   clock: Pick<Clock, 'getNowMs' | 'getRunningMs'>,
   call: Pick<TargetCall, 'readEvent'>,
-  { silentUntilMs, expiresAtMs }: ReadLimits,
+  { silenceDeadlineMs: silenceDeadlineMs, expiresAtMs }: ReadDeadlines,
 ): Promise<CallEvent> {
-  let silenceMs = silentUntilMs - clock.getRunningMs();
+  let silenceMs = silenceDeadlineMs - clock.getRunningMs();
   for (;;) {
     const event = await call.readEvent(Math.min(silenceMs, expiresAtMs - clock.getNowMs()));
     if (event.kind !== 'timeout' || clock.getNowMs() >= expiresAtMs) return event;
-    silenceMs = silentUntilMs - clock.getRunningMs();
+    silenceMs = silenceDeadlineMs - clock.getRunningMs();
     if (silenceMs <= 0) return event;
     silenceMs = Math.max(MIN_REST_MS, silenceMs);
   }
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetLife.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetLife.ts
@@ -2,6 +2,6 @@
 import type { ForwardingTarget } from '@sequoiarill/types';
 
 /** A target may start again under the id that it had. */
-export function formatLife({ id, startedAtUnixMs }: ForwardingTarget): string {
+export function formatIncarnation({ id, startedAtUnixMs }: ForwardingTarget): string {
   return `${id}@${startedAtUnixMs}`;
 }
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
@@ -11,19 +11,19 @@
   /** Gives what is to be called, once, when the request has ended there. */
   readonly recordStart: (target: ForwardingTarget) => () => void;
   /** An event of a stream, or a report: it lives. */
-  readonly recordSign: (target: ForwardingTarget) => void;
+  readonly recordAlive: (target: ForwardingTarget) => void;
   readonly recordSuccess: (target: ForwardingTarget) => void;
   /** A failure that says nothing of the targets beside it, such as a full queue. */
   readonly recordFailure: (target: ForwardingTarget) => void;
   /** A connection refused or broken, a silence, a damaged answer. */
   readonly recordLoss: (target: ForwardingTarget) => void;
   /** Another life of a target, or another one, has its address now: this one is gone. */
-  readonly recordReplaced: (target: ForwardingTarget) => void;
+  readonly recordReplacement: (target: ForwardingTarget) => void;
   /** The target's identity is not sure any more; see `recordProof`. */
-  readonly isUnproved: (target: ForwardingTarget) => boolean;
-  readonly recordProof: (target: ForwardingTarget) => void;
+  readonly isUnverified: (target: ForwardingTarget) => boolean;
+  readonly recordVerified: (target: ForwardingTarget) => void;
   /** Monotonic milliseconds; undefined when it never proved its identity. */
-  readonly getProvedAtMs: (target: ForwardingTarget) => number | undefined;
+  readonly getVerifiedAtMs: (target: ForwardingTarget) => number | undefined;
   readonly recordReport: (target: ForwardingTarget, report: EngineReport) => void;
   readonly buildView: (target: ForwardingTarget) => TargetView;
   readonly isSuspect: (target: ForwardingTarget) => boolean;
@@ -119,7 +119,7 @@
       suspicion.recordAlive(target, getNowMs());
       suspicion.recordVerified(target, getNowMs());
     },
-    recordSign(target) {
+    recordAlive(target) {
       suspicion.recordAlive(target, getNowMs());
     },
     recordFailure(target) {
@@ -129,12 +129,12 @@
       getDetector(target.service).recordFailure(target.id, getNowMs());
       suspicion.recordLoss(target, getNowMs());
     },
-    recordReplaced(target) {
+    recordReplacement(target) {
       suspicion.recordRemoval(target, getNowMs());
     },
-    isUnproved: suspicion.isUnverified,
-    getProvedAtMs: suspicion.getVerifiedAtMs,
-    recordProof(target) {
+    isUnverified: suspicion.isUnverified,
+    getVerifiedAtMs: suspicion.getVerifiedAtMs,
+    recordVerified(target) {
       suspicion.recordVerified(target, getNowMs());
     },
     recordReport(target, report) {
--- a/packages/sequoiarill-plugin-membership/src/__tests__/convergence.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/convergence.test.ts
@@ -64,7 +64,7 @@
     records: new Map(peers.listRecords().map((record) => [record.name, record])),
     facts: new Map(targets.listFacts().map((fact) => [`${fact.target} ${fact.observer}`, fact])),
     incarnations,
-    revision: node.configuration.getNews().revision,
+    revision: node.configuration.getAnnouncement().revision,
   };
 }
 
@@ -99,7 +99,7 @@
   if (taken.kind === 'pause') node.isPaused = true;
   if (taken.kind === 'wake') node.isPaused = false;
   if (taken.kind === 'accept') {
-    const revision = node.configuration.getNews().revision + index + 1;
+    const revision = node.configuration.getAnnouncement().revision + index + 1;
     node.configuration.accept({ name: `team-${index}`, revision, text: 'text' });
   }
   if (taken.kind === 'restart') {
@@ -146,7 +146,7 @@
             const living = fleet.nodes.filter(({ isDown }) => !isDown);
             const hashes = new Set(living.map(({ state }) => state.peers.getHash()));
             const revisions = new Set(
-              living.map(({ configuration }) => configuration.getNews().revision),
+              living.map(({ configuration }) => configuration.getAnnouncement().revision),
             );
             expect([hashes.size, revisions.size]).toEqual([1, 1]);
             for (const node of living) expect(Fleets.listLiving(node)).toEqual([...ROUTERS]);
--- a/packages/sequoiarill-plugin-membership/src/__tests__/decisions.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/decisions.test.ts
@@ -141,6 +141,6 @@
     state.mergeRecords([{ ...state.peers.getSelf(), name: 'z2-1', zone: 'z2', address: 'z2-1:1' }]);
     const input = { ...state.buildInput(), from: 'z2-1' };
     Answers.handleExchange(state, { ...input, configuration: { ...peer, revision: 20 } });
-    expect(state.configuration.getNews()).toEqual(own);
+    expect(state.configuration.getAnnouncement()).toEqual(own);
   });
 });
--- a/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
@@ -192,14 +192,14 @@
     fleet.addNode({ name: 'z3-4', zone: 'z3', seeds: ['z3-1:1'] });
     fleet.getNode('z3-1').configuration.accept({ name: 'team', revision: 9, text: 'new' });
     fleet.runMs(570_000);
-    expect(fleet.getNode('z3-4').configuration.getNews().revision).toEqual(9);
-    expect(fleet.getNode('z1-1').configuration.getNews().revision).toEqual(0);
+    expect(fleet.getNode('z3-4').configuration.getAnnouncement().revision).toEqual(9);
+    expect(fleet.getNode('z1-1').configuration.getAnnouncement().revision).toEqual(0);
     fleet.isDelivered = () => true;
     fleet.runMs(10_000);
     for (const node of fleet.nodes.filter(({ isDown }) => !isDown)) {
       const states = Fleets.listStates(node);
       expect([states['z3-3'], states['z3-4'], states['z1-1']]).toEqual(['dead', 'alive', 'alive']);
-      expect(node.configuration.getNews().revision).toEqual(9);
+      expect(node.configuration.getAnnouncement().revision).toEqual(9);
     }
   });
 });
--- a/packages/sequoiarill-plugin-membership/src/__tests__/sockets.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/sockets.test.ts
@@ -150,7 +150,7 @@
     second.configuration.accept(large);
     second.configuration.accept({ name: 'team-b', revision: 8, text: 'y'.repeat(300_000) });
     await waitUntil(
-      () => routers.every(({ configuration }) => configuration.getNews().revision === 8),
+      () => routers.every(({ configuration }) => configuration.getAnnouncement().revision === 8),
       'the change reaches all',
     );
     expect(third.configuration.listSectionsAfter(0).length).toEqual(2);
--- a/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
@@ -48,7 +48,7 @@
   }
 
   return {
-    getNews: () => news,
+    getAnnouncement: () => news,
     listSectionsAfter: (revision) =>
       [...sections.values()].filter((section) => section.revision > revision),
     mergeSections(other, incoming) {
--- a/packages/sequoiarill-plugin-membership/src/configurationPull.ts
+++ b/packages/sequoiarill-plugin-membership/src/configurationPull.ts
@@ -39,7 +39,7 @@
  */
 export function listChunk(exchange: ConfigurationExchange, after: number): SectionsOutput {
   // News first: a section accepted in between is then only early, never missing.
-  const configuration = exchange.getNews();
+  const configuration = exchange.getAnnouncement();
   const sections = [...exchange.listSectionsAfter(after)].sort(
     (left, right) => left.revision - right.revision,
   );
@@ -76,7 +76,7 @@
   exchange: ConfigurationExchange,
   { address, news, isZoneMate }: NewsSource,
 ): PeerTask<boolean> {
-  const own = exchange.getNews();
+  const own = exchange.getAnnouncement();
   if (news.revision <= own.revision) {
     if (isZoneMate && compareNews(news, own) > 0) exchange.mergeSections(news, []);
     return true;
@@ -89,11 +89,11 @@
     const output = answer.output as SectionsOutput;
     const last = output.sections.at(-1);
     if (output.isComplete || last === undefined) {
-      const merged = selectNews(exchange.getNews(), output.configuration, isZoneMate);
+      const merged = selectNews(exchange.getAnnouncement(), output.configuration, isZoneMate);
       exchange.mergeSections(merged, output.sections);
       return true;
     }
-    exchange.mergeSections({ ...exchange.getNews(), revision: last.revision }, output.sections);
+    exchange.mergeSections({ ...exchange.getAnnouncement(), revision: last.revision }, output.sections);
     after = last.revision;
   }
   return true;
--- a/packages/sequoiarill-plugin-membership/src/dump.ts
+++ b/packages/sequoiarill-plugin-membership/src/dump.ts
@@ -24,7 +24,7 @@
   return {
     address: self.address,
     incarnation: self.incarnation,
-    configuration: state.configuration.getNews(),
+    configuration: state.configuration.getAnnouncement(),
     zonesAway: rounds.listZonesAway(),
     peers: peers.map((peer) => ({
       name: peer.name,
--- a/packages/sequoiarill-plugin-membership/src/exchangeAnswers.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeAnswers.ts
@@ -21,7 +21,7 @@
   return {
     from: peers.getSelf().name,
     peersHash: peers.getHash(),
-    configuration: configuration.getNews(),
+    configuration: configuration.getAnnouncement(),
     ...(isSame ? {} : { zoneHashes: peers.listZoneHashes() }),
     ...handleTargets(state, input),
   };
@@ -29,7 +29,7 @@
 
 function mergeConfigurationNews(state: ExchangeState, input: ExchangeInput): void {
   const { configuration, peers } = state;
-  const own = configuration.getNews();
+  const own = configuration.getAnnouncement();
   if (input.configuration.revision > own.revision) {
     const sender = peers.findRecord(input.from);
     if (sender !== undefined) state.onNewerConfiguration(sender.address);
--- a/packages/sequoiarill-plugin-membership/src/exchangeState.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeState.ts
@@ -80,7 +80,7 @@
       return {
         from: peers.getSelf().name,
         peersHash: peers.getHash(),
-        configuration: configuration.getNews(),
+        configuration: configuration.getAnnouncement(),
         targets: {
           rosterHash: peers.getRosterHash(),
           versions: [...targets.getVersions()],
@@ -101,6 +101,6 @@
       detector.recordAnswer(name, getNowMs());
     },
     getRevision: (name) =>
-      name === peers.getSelf().name ? configuration.getNews().revision : (revisions.get(name) ?? 0),
+      name === peers.getSelf().name ? configuration.getAnnouncement().revision : (revisions.get(name) ?? 0),
   };
 }
--- a/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
@@ -95,7 +95,7 @@
       { readerFence: 1, readerBeat: 1, revision: state.findNewestRevision(7) },
       [],
     );
-    expect(state.getNews().revision).toEqual(3);
+    expect(state.getAnnouncement().revision).toEqual(3);
     expect(state.listSectionsAfter(0).map(({ name }) => name)).toEqual(['models']);
     state.mergeSections(
       { readerFence: 1, readerBeat: 2, revision: state.findNewestRevision(9) },
@@ -148,11 +148,11 @@
     const news = News.createNewsKeeper(clock, 3_000);
     news.confirmNews(7, 20);
     news.confirmNews(7, 21);
-    expect(news.getNews()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
+    expect(news.getAnnouncement()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
     news.mergeNews({ readerFence: 6, readerBeat: 90, revision: 99 });
-    expect(news.getNews()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
+    expect(news.getAnnouncement()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
     news.mergeNews({ readerFence: 9, readerBeat: 1, revision: 15 });
-    expect(news.getNews()).toEqual({ readerFence: 9, readerBeat: 1, revision: 21 });
+    expect(news.getAnnouncement()).toEqual({ readerFence: 9, readerBeat: 1, revision: 21 });
   });
 
   it('makes a reader with a lower fence heard once the higher one falls silent', () => {
@@ -162,9 +162,9 @@
     const news = News.createNewsKeeper(clock, 3_000);
     news.mergeNews({ readerFence: 9, readerBeat: 5, revision: 30 });
     news.confirmNews(7, 31);
-    expect(news.getNews()).toEqual({ readerFence: 9, readerBeat: 5, revision: 31 });
+    expect(news.getAnnouncement()).toEqual({ readerFence: 9, readerBeat: 5, revision: 31 });
     clock.delay(3_000);
     news.confirmNews(7, 32);
-    expect(news.getNews()).toEqual({ readerFence: 10, readerBeat: 1, revision: 32 });
+    expect(news.getAnnouncement()).toEqual({ readerFence: 10, readerBeat: 1, revision: 32 });
   });
 });
--- a/packages/sequoiarill-plugin-platform/src/__tests__/fixtures.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/fixtures.ts
@@ -77,8 +77,8 @@
 export function mergeNodes(nodes: readonly Node[]): void {
   for (const from of nodes) {
     for (const to of nodes) {
-      const news = from.state.getNews();
-      const own = to.state.getNews();
+      const news = from.state.getAnnouncement();
+      const own = to.state.getAnnouncement();
       if (news.revision > own.revision) {
         to.state.mergeSections(news, from.state.listSectionsAfter(own.revision));
       } else if (News.compareNews(news, own) > 0) to.state.mergeSections(news, []);
--- a/packages/sequoiarill-plugin-platform/src/configurationNews.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationNews.ts
@@ -14,7 +14,7 @@
 }
 
 export interface NewsKeeper {
-  readonly getNews: () => ConfigurationAnnouncement;
+  readonly getAnnouncement: () => ConfigurationAnnouncement;
   /** Since a reader was last known to have confirmed the configuration; infinite before that. */
   readonly getAgeMs: () => number;
   /** Takes in news of a peer; older ones change nothing. */
@@ -43,7 +43,7 @@
   }
 
   return {
-    getNews: () => news,
+    getAnnouncement: () => news,
     getAgeMs,
     mergeNews(other) {
       if (compareNews(other, news) <= 0) return;
--- a/packages/sequoiarill-plugin-platform/src/configurationState.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationState.ts
@@ -171,7 +171,7 @@
    * older. So records above the confirmed revision wait for the confirmation, a fraction of a second.
    */
   function listSectionsAfter(revision: number): readonly ConfigurationSection[] {
-    const confirmed = news.getNews().revision;
+    const confirmed = news.getAnnouncement().revision;
     return [...records.values()].filter(
       (record) => record.revision > revision && record.revision <= confirmed,
     );
@@ -182,7 +182,7 @@
     findNewestRevision,
     getConfiguration: snapshots.getConfiguration,
     subscribeConfiguration: snapshots.subscribe,
-    getNews: news.getNews,
+    getAnnouncement: news.getAnnouncement,
     listSectionsAfter,
     mergeSections(peerNews, sections) {
       applyRecords(sections);
@@ -228,7 +228,7 @@
   return {
     revision: configuration.revision,
     appliedAt: known.appliedAt,
-    news: news.getNews(),
+    news: news.getAnnouncement(),
     newsAgeMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
     sections: [...records.values()]
       .filter((record) => !DocumentRecords.isVmRecord(record))
--- a/packages/sequoiarill-plugin-rollouts/src/play/playedFleet.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/playedFleet.ts
@@ -51,7 +51,7 @@
       LIMITS,
       decideStep,
     );
-    rollouts.setInFlightReader(({ id }) => inFlight.get(id) ?? 0);
+    rollouts.setInFlightCounter(({ id }) => inFlight.get(id) ?? 0);
     node.peers.setReportHandler(runner.handleReport);
     node.directory.subscribe(applyDirectory);
     applyDirectory();
--- a/packages/sequoiarill-plugin-rollouts/src/play/playedTraffic.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/playedTraffic.ts
@@ -98,7 +98,7 @@
     const isUsual = nextRandom() < played.usualFailures;
     const isFailure = isUsual || isGrey || (isBad && played.bad?.how === 'fails');
     const objectiveMs = played.workMs / WORK_SHARE;
-    const recordEnd = router.rollouts.recordSend({ target, route, objectiveMs });
+    const recordEnd = router.rollouts.recordAttempt({ target, route, objectiveMs });
     router.addInFlight(target, 1);
     running = [...running, { target, router, startMs: nowMs, endMs, isFailure, recordEnd }];
   }
--- a/packages/sequoiarill-plugin-rollouts/src/play/world.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/world.ts
@@ -111,7 +111,7 @@
     reportCrashes: async () => ({ kind: 'counted' }),
     reportAnswers: async () => ({ kind: 'counted' }),
     exchangeBlocks: async () => ({ kind: 'blocks', blocks: [] }),
-    borrowPermits: async () => ({ kind: 'lent', lent: { permits: 0 } }),
+    borrowPermits: async () => ({ kind: 'lent', granted: { permits: 0 } }),
     setPermitsLender: () => undefined,
     setCrashHandlers: () => undefined,
   };
--- a/packages/sequoiarill-plugin-rollouts/src/plugin.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/plugin.ts
@@ -29,8 +29,8 @@
 const ALL_VERSIONS: Rollouts = {
   selectTargets: (targets) => targets,
   isLeaving: () => false,
-  recordSend: () => () => undefined,
-  setInFlightReader: () => undefined,
+  recordAttempt: () => () => undefined,
+  setInFlightCounter: () => undefined,
 };
 
 export function createRollouts(
@@ -95,14 +95,14 @@
       );
     },
     isLeaving,
-    recordSend(send) {
+    recordAttempt(send) {
       const view = views.get(send.target.service);
       const isRunning = view !== undefined && !RolloutViews.isEnded(view.split.phase);
       const memory = isRunning ? memories.get(view) : undefined;
       const isFresh = send.target.version === view?.split.toVersion;
       return memory?.tallies.recordSend(send, isFresh) ?? (() => undefined);
     },
-    setInFlightReader(reader) {
+    setInFlightCounter(reader) {
       getInFlight = reader;
     },
   };
--- a/packages/sequoiarill-types/src/configuration.ts
+++ b/packages/sequoiarill-types/src/configuration.ts
@@ -126,7 +126,7 @@
 
 /** Capability `configurationExchange`: lets routers learn the document from each other. */
 export interface ConfigurationExchange {
-  readonly getNews: () => ConfigurationAnnouncement;
+  readonly getAnnouncement: () => ConfigurationAnnouncement;
   /** Sections whose revision is above the given one. */
   readonly listSectionsAfter: (revision: number) => readonly ConfigurationSection[];
   /** Takes in what a peer has; older revisions of a section never replace newer ones. */
--- a/packages/sequoiarill-types/src/peers.ts
+++ b/packages/sequoiarill-types/src/peers.ts
@@ -74,10 +74,10 @@
   readonly ageMs: number;
 }
 
-export type CrashesOutcome =
+export type CrashReportOutcome =
   { readonly kind: 'counted' } | { readonly kind: 'failed'; readonly reason: string };
 
-export type BlocksOutcome =
+export type BlockExchangeOutcome =
   | { readonly kind: 'blocks'; readonly blocks: readonly ContentBlock[] }
   | { readonly kind: 'failed'; readonly reason: string };
 
@@ -122,7 +122,7 @@
 }
 
 export type PermitsOutcome =
-  | { readonly kind: 'lent'; readonly lent: GrantedPermits }
+  | { readonly kind: 'lent'; readonly granted: GrantedPermits }
   | { readonly kind: 'failed'; readonly reason: string };
 
 /** Capability `peers`: the other routers, as the directory knows them. */
@@ -138,16 +138,16 @@
   readonly listRouters: () => readonly RouterLocation[];
   readonly sendReport: (peer: string, report: RolloutReport) => Promise<GuidanceOutcome>;
   /** To a router that counts crashes of their contents over all routers. */
-  readonly reportCrashes: (peer: string, crashes: readonly Crash[]) => Promise<CrashesOutcome>;
+  readonly reportCrashes: (peer: string, crashes: readonly Crash[]) => Promise<CrashReportOutcome>;
   readonly reportAnswers: (
     peer: string,
     answers: readonly ContentAnswer[],
-  ) => Promise<CrashesOutcome>;
+  ) => Promise<CrashReportOutcome>;
   /** Tells a router the blocks that are known here, and learns those known there. */
   readonly exchangeBlocks: (
     peer: string,
     blocks: readonly ContentBlock[],
-  ) => Promise<BlocksOutcome>;
+  ) => Promise<BlockExchangeOutcome>;
   readonly setCrashHandlers: (handlers: CrashHandlers) => void;
   readonly borrowPermits: (peer: string, question: PermitsRequest) => Promise<PermitsOutcome>;
   readonly setPermitsLender: (lendPermits: (question: PermitsRequest) => GrantedPermits) => void;
--- a/packages/sequoiarill-types/src/rollouts.ts
+++ b/packages/sequoiarill-types/src/rollouts.ts
@@ -56,7 +56,7 @@
   /** New work no longer goes to the target's version, and streams there are to go on elsewhere. */
   readonly isLeaving: (target: ForwardingTarget) => boolean;
   /** Gives what is to be called with the end; calls after the first one change nothing. */
-  readonly recordSend: (send: VersionAttempt) => (end: VersionAttemptResult) => void;
+  readonly recordAttempt: (send: VersionAttempt) => (end: VersionAttemptResult) => void;
   /** Who tells how many requests of this router a target works on. */
-  readonly setInFlightReader: (getInFlight: (target: ForwardingTarget) => number) => void;
+  readonly setInFlightCounter: (getInFlight: (target: ForwardingTarget) => number) => void;
 }
