--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -125,7 +125,9 @@
  */
 function decideFramedEnd(outcome: AttemptOutcome, progress: Progress): AttemptOutcome {
   const isEndUncertain =
-    outcome.kind === 'complete' && progress.isFramed === true && Checks.isCloseDelimited(outcome.head);
+    outcome.kind === 'complete' &&
+    progress.isFramed === true &&
+    Checks.isCloseDelimited(outcome.head);
   return isEndUncertain
     ? { kind: 'lost', reason: 'response ended without framing', isTimeout: false }
     : outcome;
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetRegistry.ts
@@ -3,7 +3,7 @@
 import type { TargetView } from '@sequoiarill/decisions';
 import type { EngineReport, ForwardingTarget } from '@sequoiarill/types';
 
-import * as LazyGetters from '../register';
+import * as LazyGetters from '../lazyGetter';
 
 export interface TargetRegistry {
   /** A request was placed on the target and will be sent shortly, unless it is cancelled. */
