--- a/packages/sequoiarill-decisions/src/__tests__/admission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/admission.test.ts
@@ -118,7 +118,7 @@
     const long = { maxOutputTokens: 1_000 };
     for (let index = 0; index < 100; index += 1) {
       const permit = getPermit(admission.admitRequest(buildRequest('a', long), index));
-      admission.releasePermit(permit, { outputTokens: 3, isWhole: false }, index);
+      admission.releasePermit(permit, { outputTokens: 3, isComplete: false }, index);
     }
     expect(getPermit(admission.admitRequest(buildRequest('a', long), 200)).cost.tokens).toEqual(
       600,
--- a/packages/sequoiarill-decisions/src/__tests__/answerDurations.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/answerDurations.test.ts
@@ -22,7 +22,7 @@
     let cut = 0;
     for (let index = 0; index < 20; index += 1) {
       const leftMs = GRACE_MS - index * 100;
-      const isTaken = durations.getLongest('summary', 25_000) <= leftMs;
+      const isTaken = durations.getUpperBoundMs('summary', 25_000) <= leftMs;
       if (isTaken && createStreamMs(index) > leftMs) cut += 1;
     }
     expect(cut).toEqual(0);
@@ -31,14 +31,14 @@
   it('leave short answers to a router that is stopped', () => {
     const durations = AnswerDurations.createAnswerDurations();
     for (let index = 0; index < 40; index += 1) durations.recordAnswer('booking', 60 + index);
-    expect(durations.getLongest('booking', 4_000)).toBeLessThan(200);
+    expect(durations.getUpperBoundMs('booking', 4_000)).toBeLessThan(200);
   });
 
   it('are the limit of the route while too few answers were seen', () => {
     // A router starts, sees one short stream and gets its signal; it must not take all others for short.
     const durations = AnswerDurations.createAnswerDurations();
-    expect(durations.getLongest('summary', 25_000)).toEqual(25_000);
+    expect(durations.getUpperBoundMs('summary', 25_000)).toEqual(25_000);
     durations.recordAnswer('summary', 3_500);
-    expect(durations.getLongest('summary', 25_000)).toEqual(25_000);
+    expect(durations.getUpperBoundMs('summary', 25_000)).toEqual(25_000);
   });
 });
--- a/packages/sequoiarill-decisions/src/__tests__/clientRetryDetector.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/clientRetryDetector.test.ts
@@ -7,7 +7,7 @@
 function createCheck() {
   const detector = ClientRetryDetectors.createClientRetryDetector();
   return (givenMs: number) =>
-    detector.isClientRetry({ kind: 'booking', givenMs, objectiveMs: 300 });
+    detector.isClientRetry({ kind: 'booking', remainingMs: givenMs, objectiveMs: 300 });
 }
 
 describe('callers that come back', () => {
--- a/packages/sequoiarill-decisions/src/__tests__/enginePlacement.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/enginePlacement.test.ts
@@ -147,7 +147,7 @@
         createView({ id: `e${index}`, zone: zones[index % zones.length] ?? 'a' }),
       );
       const sample = EnginePlacement.selectCandidates(engines, 'prompt', (zone) =>
-        EnginePlacement.computeZoneSample(zone === 'a', zones.length),
+        EnginePlacement.computeZoneSampleSize(zone === 'a', zones.length),
       );
       const count = (zone: string) => sample.filter((engine) => engine.zone === zone).length;
       return zones.map(count);
--- a/packages/sequoiarill-decisions/src/admissionTypes.ts
+++ b/packages/sequoiarill-decisions/src/admissionTypes.ts
@@ -61,10 +61,10 @@
   readonly outcome: Admitted | Refused;
 }
 
-export interface AdmissionUse {
+export interface PermitUsage {
   readonly outputTokens: number;
   /** False for an answer that was cancelled or lost: its length says nothing of the next one's. */
-  readonly isWhole?: boolean;
+  readonly isComplete?: boolean;
 }
 
 export interface AdmissionOptions {
@@ -99,7 +99,7 @@
   readonly removeTicket: (ticket: Ticket) => void;
   /** Feeds the model's concurrency limit; `ms` from dispatch to the first token. */
   readonly recordFirstToken: (permit: Permit, ms: number, nowMs: number) => void;
-  readonly releasePermit: (permit: Permit, use: AdmissionUse, nowMs: number) => void;
+  readonly releasePermit: (permit: Permit, use: PermitUsage, nowMs: number) => void;
   /** When the next ticket is given up unless it starts; for the caller's one timer. */
   readonly getNextDeadlineMs: () => number | undefined;
   /** Slots of a model's usable targets, at each change; see `ConcurrencyLimit.setCapacity`. */
--- a/packages/sequoiarill-decisions/src/answerDurations.ts
+++ b/packages/sequoiarill-decisions/src/answerDurations.ts
@@ -12,7 +12,7 @@
   /** One answer that was whole, milliseconds from its request to its end. */
   readonly recordAnswer: (kind: string, ms: number) => void;
   /** Milliseconds that nearly all answers of the kind end within; the limit until some have been seen. */
-  readonly getLongest: (kind: string, limitMs: number) => number;
+  readonly getUpperBoundMs: (kind: string, limitMs: number) => number;
 }
 
 interface Estimate {
@@ -48,7 +48,7 @@
       known.meanMs += error * MEAN_GAIN;
       known.deviationMs += (Math.abs(error) - known.deviationMs) * DEVIATION_GAIN;
     },
-    getLongest(kind, limitMs) {
+    getUpperBoundMs(kind, limitMs) {
       const known = estimates.get(kind);
       if (known === undefined || known.count < MIN_ANSWERS) return limitMs;
       return Math.min(limitMs, known.meanMs + known.deviationMs * HEADROOM_DEVIATIONS);
--- a/packages/sequoiarill-decisions/src/clientRetryDetector.ts
+++ b/packages/sequoiarill-decisions/src/clientRetryDetector.ts
@@ -11,7 +11,7 @@
 export interface ClientRetryQuery {
   /** Requests of one kind come with the same time, normally. */
   readonly kind: string;
-  readonly givenMs: number;
+  readonly remainingMs: number;
   readonly objectiveMs: number;
 }
 
@@ -45,7 +45,7 @@
   }
 
   return {
-    isClientRetry({ kind, givenMs, objectiveMs }) {
+    isClientRetry({ kind, remainingMs: givenMs, objectiveMs }) {
       const known = getKnown(kind);
       known.longestMs = Math.max(known.longestMs, givenMs);
       const isShort = known.longestMs - givenMs > objectiveMs;
--- a/packages/sequoiarill-decisions/src/concurrencyLimit.ts
+++ b/packages/sequoiarill-decisions/src/concurrencyLimit.ts
@@ -36,7 +36,7 @@
  * A wait that only comes up when engines have no slot free, and leaves a second for the queue before
  * them. Milliseconds; docs/design/0003 compares it with others.
  */
-export const DEFAULT_TARGET_MS = 30;
+export const DEFAULT_WAIT_TARGET_MS = 30;
 /** Judged are the newest samples: three seconds of a small router, less of a busy one. */
 const JUDGED_SAMPLES = 40;
 const JUDGED_SHARE = 0.8;
--- a/packages/sequoiarill-decisions/src/copyPlacement.ts
+++ b/packages/sequoiarill-decisions/src/copyPlacement.ts
@@ -14,11 +14,11 @@
   readonly runZone: string;
   /** Zone of the router that holds the caller's connection. */
   readonly routerZone: string;
-  readonly keeperZone: string;
+  readonly holderZone: string;
   /** The keeper is known, takes work and is under no suspicion. */
-  readonly isKeeperSafe: boolean;
+  readonly isHolderAvailable: boolean;
   /** Some engine of the router's zone could keep the copy. */
-  readonly isHomeOpen: boolean;
+  readonly isLocalZoneAvailable: boolean;
   /** Since it was ordered, milliseconds; undefined for one that grows with its run. */
   readonly ageMs: number | undefined;
   /** Time after which a keeper drops a copy that does not grow, milliseconds. */
@@ -32,12 +32,17 @@
 const RENEWALS_PER_LIFETIME = 2;
 
 /** Whether both ends of the run are lost with one link. */
-function isBeyondOneLink({ runZone, routerZone, keeperZone }: CopyQuestion): boolean {
+function isBeyondOneLink({ runZone, routerZone, holderZone: keeperZone }: CopyQuestion): boolean {
   return runZone !== routerZone && keeperZone !== routerZone;
 }
 
 export function decideCopyAction(question: CopyQuestion): CopyAction {
-  const { isKeeperSafe, isHomeOpen, ageMs, lifetimeMs } = question;
+  const {
+    isHolderAvailable: isKeeperSafe,
+    isLocalZoneAvailable: isHomeOpen,
+    ageMs,
+    lifetimeMs,
+  } = question;
   if (!isKeeperSafe) return 'move';
   if (isHomeOpen && isBeyondOneLink(question)) return 'move';
   if (ageMs !== undefined && ageMs >= lifetimeMs / RENEWALS_PER_LIFETIME) return 'renew';
--- a/packages/sequoiarill-decisions/src/enginePlacement.ts
+++ b/packages/sequoiarill-decisions/src/enginePlacement.ts
@@ -89,7 +89,7 @@
  * zone are as many as six in three zones but ten in five, which find no better place. So the number of
  * zones hardly counts; one engine of each is asked, since whole zones go at once.
  */
-export function computeZoneSample(isOwn: boolean, zones: number): number {
+export function computeZoneSampleSize(isOwn: boolean, zones: number): number {
   if (isOwn) return OWN_ZONE_SAMPLE;
   const share = Math.floor(OTHER_ZONES_SAMPLE / Math.max(1, zones - 1));
   return Math.min(OWN_ZONE_SAMPLE, Math.max(1, share));
--- a/packages/sequoiarill-decisions/src/fairQueue.ts
+++ b/packages/sequoiarill-decisions/src/fairQueue.ts
@@ -33,10 +33,10 @@
   readonly getWork: () => number;
   readonly getOrganisationWork: (organisation: string) => number;
   /** Work that would start before a further request of this organisation. */
-  readonly computeWorkBefore: (organisation: string, weight: number) => number;
+  readonly computeWorkAhead: (organisation: string, weight: number) => number;
   readonly getWaitingCount: () => number;
   /** The last item of the organisation that waits with most work over its weight. */
-  readonly findHeaviestLast: () => Item | undefined;
+  readonly findEvictionCandidate: () => Item | undefined;
 }
 
 interface Line<Item> {
@@ -190,11 +190,11 @@
     removeItem,
     takeNext,
     recordStart,
-    findHeaviestLast,
+    findEvictionCandidate: findHeaviestLast,
     getLength: () => length,
     getWork: () => totalWork,
     getOrganisationWork: (organisation) => lines.get(organisation)?.work ?? 0,
-    computeWorkBefore,
+    computeWorkAhead: computeWorkBefore,
     getWaitingCount: () => waiting.size,
   };
 }
--- a/packages/sequoiarill-decisions/src/modelQueue.ts
+++ b/packages/sequoiarill-decisions/src/modelQueue.ts
@@ -131,7 +131,7 @@
   }
 
   function computeWaitMs(wait: LaneWait): number {
-    const workBefore = queue.computeWorkBefore(wait.organisation, wait.weight);
+    const workBefore = queue.computeWorkAhead(wait.organisation, wait.weight);
     const error = Math.min(MAX_ERROR, Math.max(1, waitedMs / expectedMs));
     return ((workBefore + wait.work) / getWorkPerSecond()) * 1000 * error;
   }
--- a/packages/sequoiarill-decisions/src/permits.ts
+++ b/packages/sequoiarill-decisions/src/permits.ts
@@ -5,7 +5,7 @@
  * twice would raise the concurrency limit for good, one that is never given back would lower it; so a
  * permit is known by identity and its second return does nothing.
  */
-import type { AdmissionUse, Permit } from './admissionTypes';
+import type { PermitUsage, Permit } from './admissionTypes';
 import type { Cost } from './cost';
 import type { ModelQueueSet } from './modelQueueSet';
 import type { OrganisationLimiter } from './organisationLimits';
@@ -21,7 +21,7 @@
 export interface Permits {
   readonly createPermit: (question: PermitQuestion, nowMs: number) => Permit;
   readonly recordFirstToken: (permit: Permit, ms: number, nowMs: number) => void;
-  readonly releasePermit: (permit: Permit, use: AdmissionUse, nowMs: number) => void;
+  readonly releasePermit: (permit: Permit, use: PermitUsage, nowMs: number) => void;
 }
 
 export interface PermitsOptions {
@@ -59,13 +59,13 @@
     );
   }
 
-  function releasePermit(permit: Permit, use: AdmissionUse, nowMs: number): void {
+  function releasePermit(permit: Permit, use: PermitUsage, nowMs: number): void {
     if (!inFlightByPermit.delete(permit)) return;
     const { organisation, model, cost } = permit;
     limiter.releaseUse(organisation, cost.tokens, cost.promptTokens + use.outputTokens);
     const work = cost.work - cost.expectedOutputTokens + use.outputTokens;
     modelQueues.getModelQueue(model).recordEnd(work, nowMs - permit.grantedAtMs);
-    if (use.isWhole === false) return;
+    if (use.isComplete === false) return;
     estimates.recordOutput(organisation, model, use.outputTokens);
   }
 
--- a/packages/sequoiarill-decisions/src/queueAdmission.ts
+++ b/packages/sequoiarill-decisions/src/queueAdmission.ts
@@ -59,7 +59,7 @@
   }
   if (modelQueue.queue.getLength() < bounds.maxQueueLength)
     return { kind: 'accept', waitMs, acceptedMs };
-  const victim = modelQueue.queue.findHeaviestLast();
+  const victim = modelQueue.queue.findEvictionCandidate();
   if (victim === undefined || victim.organisation === organisation.name) {
     const message = `overloaded: ${bounds.maxQueueLength} requests wait for model ${model}`;
     return { kind: 'refuse', waitMs, message };
--- a/packages/sequoiarill-plugin-forwarding/src/front/exchange.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/exchange.ts
@@ -89,7 +89,7 @@
 /** Milliseconds that the answer will hardly exceed. */
 function computeLongest({ durations }: ExchangeDependencies, request: ForwardRequest): number {
   const { route, arrivedAtMs, expiresAtMs } = request;
-  return durations.getLongest(route.name, expiresAtMs - arrivedAtMs);
+  return durations.getUpperBoundMs(route.name, expiresAtMs - arrivedAtMs);
 }
 
 function watchClose(response: ServerResponse): AbortSignal {
@@ -169,7 +169,8 @@
   const givenMs = Number(Headers.findSingle(headers, names.remainingMs));
   const { name, objectiveMs } = route;
   const isReturning =
-    givenMs > 0 && dependencies.clientRetries.isClientRetry({ kind: name, givenMs, objectiveMs });
+    givenMs > 0 &&
+    dependencies.clientRetries.isClientRetry({ kind: name, remainingMs: givenMs, objectiveMs });
   const waitMs = givenMs > 0 ? Math.min(givenMs, route.timeoutMs) : route.timeoutMs;
   const lastEventId = Headers.findSingle(headers, names.lastEventId);
   const promptTokens = Number.parseInt(Headers.findSingle(headers, names.promptSize) ?? '', 10);
--- a/packages/sequoiarill-plugin-forwarding/src/streams/runCopies.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/runCopies.ts
@@ -70,9 +70,9 @@
     return Decisions.decideCopyAction({
       runZone: engine.zone,
       routerZone: dependencies.zone,
-      keeperZone: known.keeper.zone,
-      isKeeperSafe: isSafe(known),
-      isHomeOpen: EnginePlacements.isHomeOpen(dependencies, request),
+      holderZone: known.keeper.zone,
+      isHolderAvailable: isSafe(known),
+      isLocalZoneAvailable: EnginePlacements.isHomeOpen(dependencies, request),
       ageMs: known.orderedAtMs === undefined ? undefined : clock.getNowMs() - known.orderedAtMs,
       lifetimeMs: service?.engine?.copyLifetimeMs ?? Number.POSITIVE_INFINITY,
     });
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -180,7 +180,7 @@
   const pool = trusted.length > 0 ? trusted : fresh;
   const zones = new Set(pool.map(({ zone }) => zone)).size;
   return Decisions.selectCandidates(pool, getPromptKey(request), (zone) =>
-    Decisions.computeZoneSample(zone === dependencies.zone, zones),
+    Decisions.computeZoneSampleSize(zone === dependencies.zone, zones),
   );
 }
 
--- a/packages/sequoiarill-plugin-generations/src/admissionGate.ts
+++ b/packages/sequoiarill-plugin-generations/src/admissionGate.ts
@@ -8,7 +8,7 @@
 import type {
   Admission,
   AdmissionRequest,
-  AdmissionUse,
+  PermitUsage,
   Admitted,
   Permit,
   Refused,
@@ -24,7 +24,7 @@
 export interface AdmissionGate {
   readonly waitForPermit: (request: AdmissionRequest, signal: AbortSignal) => Promise<GateOutcome>;
   readonly recordFirstToken: (permit: Permit, ms: number) => void;
-  readonly releasePermit: (permit: Permit, use: AdmissionUse) => void;
+  readonly releasePermit: (permit: Permit, use: PermitUsage) => void;
   /** Tells what the engines of a model can take now; see `ConcurrencyLimit.setCapacity`. */
   readonly setCapacity: (model: string, slots: number, busyShare: number) => void;
   readonly close: () => void;
@@ -44,7 +44,7 @@
  * The decisions' target is the wait for a slot alone, measured in a model without a network; a real
  * first token also takes a round trip and one decoding step of a full engine.
  */
-const FIRST_TOKEN_TARGET_MS = Decisions.DEFAULT_TARGET_MS + 60;
+const FIRST_TOKEN_TARGET_MS = Decisions.DEFAULT_WAIT_TARGET_MS + 60;
 const MIN_RUNNING = 8;
 /** Streams of one router process at most; memory of a stream is in docs/CAPACITY.md. */
 const MAX_RUNNING = 8_192;
--- a/packages/sequoiarill-plugin-generations/src/plugin.ts
+++ b/packages/sequoiarill-plugin-generations/src/plugin.ts
@@ -134,7 +134,7 @@
     } finally {
       await generation.return({ kind: 'cancelled', usage: NO_USAGE });
       running -= 1;
-      gate.releasePermit(permit, { outputTokens, isWhole });
+      gate.releasePermit(permit, { outputTokens, isComplete: isWhole });
       metrics.addCount('generations.tokens', outputTokens);
     }
   }
