--- a/packages/sequoiarill-decisions/src/__tests__/admission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/admission.test.ts
@@ -3,14 +3,18 @@
 import { expect } from 'earl';
 
 import * as Admission from '../admission';
-import type { AdmissionAnswer, AdmissionRequest } from '../admissionTypes';
+import type { AdmissionDecision, AdmissionRequest } from '../admissionTypes';
 import * as ConcurrencyLimit from '../concurrencyLimit';
 
-/** Longer than the three quarters of a second that one slot takes to be free here. */
-const PATIENT_MS = 2_000;
+/** Longer than the 750 ms that one slot takes to become free in these tests. */
+const LONG_MAX_WAIT_MS = 2_000;
 const LIMITS = { tokensPerSecond: 1e9, concurrentRequests: 1e9 };
 
-function createFixedAdmission(limit: number, maxQueueLength?: number, maxWaitMs = PATIENT_MS) {
+function createFixedAdmission(
+  limit: number,
+  maxQueueLength?: number,
+  maxWaitMs = LONG_MAX_WAIT_MS,
+) {
   return Admission.createAdmission({
     maxWaitMs,
     nextRandom: () => 0.5,
@@ -35,9 +39,9 @@
   };
 }
 
-function getPermit(answer: AdmissionAnswer) {
-  if (answer.kind !== 'admitted') throw new Error(`not admitted: ${answer.kind}`);
-  return answer.permit;
+function getPermit(decision: AdmissionDecision) {
+  if (decision.kind !== 'admitted') throw new Error(`not admitted: ${decision.kind}`);
+  return decision.permit;
 }
 
 describe('admission', () => {
@@ -52,7 +56,7 @@
     expect(started?.outcome.kind).toEqual('admitted');
   });
 
-  it('answers with its own reason and time when an organisation is over its limit', () => {
+  it('refuses an organisation over its limit with a reason and retry time of its own', () => {
     const admission = createFixedAdmission(100);
     const limits = { tokensPerSecond: 60, concurrentRequests: 100 };
     const organisation = { name: 'a', weight: 1, priority: 5, limits };
@@ -70,9 +74,9 @@
   });
 
   it('drops a ticket at its deadline and never hands it out afterwards', () => {
-    // A caller waits while no running generation ends, because all of them are long. Its place was
-    // accepted on an estimate that came out wrong, so it is refused at the bound with a time to
-    // come back, and the slot that is freed later goes to nobody who has left.
+    // A caller was queued on an estimate that turns out wrong, since all running generations are
+    // long. It must be refused at its deadline with a retry time, and the slot that becomes free
+    // later must not go to a caller that has left.
     const admission = createFixedAdmission(1);
     const permit = getPermit(admission.admitRequest(buildRequest('a'), 0));
     admission.admitRequest(buildRequest('a'), 0);
@@ -84,9 +88,9 @@
     expect(admission.takeNext(deadlineMs + 1)).toEqual([]);
   });
 
-  it('turns away at once who cannot start in time', () => {
-    // All slots are taken by answers that end in 750 ms, and callers wait 400 ms at most. Taken in,
-    // this caller would hold a place for 400 ms and hear the same refusal then.
+  it('refuses at once a request that cannot start in time', () => {
+    // All slots are taken by answers that end in 750 ms, and callers wait for 400 ms at most. If it
+    // were queued, this caller would get the same refusal 400 ms later.
     const admission = createFixedAdmission(1, undefined, 400);
     admission.admitRequest(buildRequest('a'), 0);
     const refused = admission.admitRequest(buildRequest('a'), 0);
@@ -111,9 +115,10 @@
     expect(admission.listModelQueues()[0]?.queuedWork).toEqual(0);
   });
 
-  it('learns the length of answers from whole ones only', () => {
-    // An engine dies and cuts a hundred answers after a few tokens. If they were taken for the usual
-    // length, the organisation would be charged a few tokens for each long answer from then on.
+  it('estimates the length of answers from complete ones only', () => {
+    // An engine dies and cuts off a hundred answers after a few tokens. If these counted as the
+    // usual length, the organisation would be charged only a few tokens for each long answer
+    // afterwards.
     const admission = createFixedAdmission(10);
     const long = { maxOutputTokens: 1_000 };
     for (let index = 0; index < 100; index += 1) {
@@ -132,7 +137,7 @@
     );
   });
 
-  it('releases a permit once, however often it is given back', () => {
+  it('releases a permit once, however often it is returned', () => {
     const admission = createFixedAdmission(1);
     const permit = getPermit(admission.admitRequest(buildRequest('a'), 0));
     admission.releasePermit(permit, { outputTokens: 5 }, 10);
@@ -140,9 +145,9 @@
     expect(admission.listModelQueues()[0]?.running).toEqual(0);
   });
 
-  it('turns the least important work away first while more important work waits', () => {
-    // Field technicians (priority 1) and a nightly batch (priority 9) meet a saturated system. The
-    // batch is refused at the door, with a time to come back, and the technicians still get a place.
+  it('refuses the least important work first while more important work waits', () => {
+    // Field technicians (priority 1) and a nightly batch (priority 9) use a saturated system. The
+    // batch must be refused with a retry time, so that the technicians are still queued.
     const admission = createFixedAdmission(1);
     const urgent = { name: 'field', weight: 1, priority: 1, limits: LIMITS };
     const batch = { name: 'batch', weight: 1, priority: 9, limits: LIMITS };
@@ -157,7 +162,7 @@
     });
   });
 
-  it('makes room in a full queue at the cost of the organisation that filled it', () => {
+  it('evicts from a full queue a request of the organisation that filled it', () => {
     const admission = createFixedAdmission(1, 2);
     const small = { promptTokens: 1, maxOutputTokens: 1 };
     admission.admitRequest(buildRequest('large', small), 0);
--- a/packages/sequoiarill-decisions/src/__tests__/admissionProperties.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/admissionProperties.test.ts
@@ -10,17 +10,20 @@
 const LIMIT = 4;
 const LIMITS = { tokensPerSecond: 2_000, concurrentRequests: 6 };
 
-const step = fc.record({
+const stepArbitrary = fc.record({
   kind: fc.constantFrom('ask', 'end', 'leave', 'wait'),
   organisation: fc.integer({ min: 0, max: 4 }),
   tokens: fc.integer({ min: 1, max: 400 }),
   elapsedMs: fc.integer({ min: 0, max: 300 }),
 });
 
-type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
+type Step = typeof stepArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Plays steps and fails as soon as a ticket is answered twice or too many run. */
-function playSteps(steps: readonly Step[]) {
+/**
+ * Simulates the steps; throws when a ticket gets two outcomes or more permits are held than the
+ * limit.
+ */
+function simulateSteps(steps: readonly Step[]) {
   const admission = Admission.createAdmission({
     nextRandom: () => 0.5,
     maxWaitMs: 5_000,
@@ -39,37 +42,37 @@
 
   function handleOutcomes(outcomes: readonly TicketOutcome[]): void {
     for (const { ticket, outcome } of outcomes) {
-      if (!waiting.delete(ticket)) throw new Error('answered twice, or after the caller left');
+      if (!waiting.delete(ticket)) throw new Error('second outcome, or caller has left');
       if (outcome.kind === 'admitted') running.push(outcome.permit);
     }
   }
 
-  function playAsk(one: Step): void {
-    const name = `organisation-${one.organisation}`;
-    const answer = admission.admitRequest(
+  function simulateRequest(step: Step): void {
+    const name = `organisation-${step.organisation}`;
+    const result = admission.admitRequest(
       {
-        organisation: { name, weight: 1 + one.organisation, priority: 2, limits: LIMITS },
+        organisation: { name, weight: 1 + step.organisation, priority: 2, limits: LIMITS },
         model: 'model',
-        promptTokens: one.tokens,
-        maxOutputTokens: one.tokens,
+        promptTokens: step.tokens,
+        maxOutputTokens: step.tokens,
       },
       nowMs,
     );
-    if (answer.kind === 'admitted') running.push(answer.permit);
-    if (answer.kind === 'queued') waiting.add(answer.ticket);
-    if (answer.kind === 'refused' && answer.retryAfterSeconds < 1) throw new Error('no time');
+    if (result.kind === 'admitted') running.push(result.permit);
+    if (result.kind === 'queued') waiting.add(result.ticket);
+    if (result.kind === 'refused' && result.retryAfterSeconds < 1) throw new Error('no retry time');
   }
 
-  function playOne(one: Step): void {
-    nowMs += one.elapsedMs;
-    if (one.kind === 'ask') playAsk(one);
-    if (one.kind === 'end') {
+  function simulateStep(step: Step): void {
+    nowMs += step.elapsedMs;
+    if (step.kind === 'ask') simulateRequest(step);
+    if (step.kind === 'end') {
       const permit = running.shift();
       if (permit !== undefined) {
-        admission.releasePermit(permit, { outputTokens: one.tokens }, nowMs);
+        admission.releasePermit(permit, { outputTokens: step.tokens }, nowMs);
       }
     }
-    if (one.kind === 'leave') {
+    if (step.kind === 'leave') {
       const [ticket] = waiting;
       if (ticket !== undefined) {
         waiting.delete(ticket);
@@ -77,10 +80,10 @@
       }
     }
     handleOutcomes(admission.takeNext(nowMs));
-    if (running.length > LIMIT) throw new Error('more run than the limit');
+    if (running.length > LIMIT) throw new Error('more generations run than the limit allows');
   }
 
-  steps.forEach(playOne);
+  steps.forEach(simulateStep);
   for (const permit of running.splice(0)) {
     admission.releasePermit(permit, { outputTokens: 1 }, nowMs);
   }
@@ -88,18 +91,18 @@
   for (const permit of running.splice(0)) {
     admission.releasePermit(permit, { outputTokens: 1 }, nowMs);
   }
-  return { waiting: waiting.size, lane: admission.listModelQueues()[0] };
+  return { waiting: waiting.size, modelQueue: admission.listModelQueues()[0] };
 }
 
-describe('admission, whatever happens in whatever order', () => {
-  it('answers each ticket once, keeps to the limit and ends with nothing held', () => {
+describe('admission under random sequences of events', () => {
+  it('gives each ticket one outcome, respects the limit and ends with nothing held', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 120 }), (steps) => {
-        const { waiting, lane } = playSteps(steps);
+      fc.property(fc.array(stepArbitrary, { maxLength: 120 }), (steps) => {
+        const { waiting, modelQueue } = simulateSteps(steps);
         expect(waiting).toEqual(0);
-        expect(lane?.running ?? 0).toEqual(0);
-        expect(lane?.queued ?? 0).toEqual(0);
-        expect(lane?.queuedWork ?? 0).toEqual(0);
+        expect(modelQueue?.running ?? 0).toEqual(0);
+        expect(modelQueue?.queued ?? 0).toEqual(0);
+        expect(modelQueue?.queuedWork ?? 0).toEqual(0);
       }),
       { seed: 20_261_202, numRuns: 300 },
     );
--- a/packages/sequoiarill-decisions/src/__tests__/concurrencyLimit.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/concurrencyLimit.test.ts
@@ -13,8 +13,8 @@
   });
 }
 
-/** Ten first tokens a second for some seconds. */
-function playSeconds(
+/** Records ten first tokens a second for the given time; returns the time of its end. */
+function simulateSeconds(
   limit: ConcurrencyLimit.ConcurrencyLimit,
   fromMs: number,
   seconds: number,
@@ -28,31 +28,33 @@
 }
 
 describe('concurrencyLimit', () => {
-  it('settles where first tokens are just in time, without swinging', () => {
-    // The engines take 80 at once; each one more waits 20 ms. The limit must find that place from
-    // above and stay there: each swing down idles engines, each swing up makes first tokens late.
+  it('converges where first tokens are just in time, without oscillating', () => {
+    // The engines run 80 at once; each one above that adds 20 ms to the wait. The limit must
+    // approach this value from above and stay there: each dip idles engines, each peak makes first
+    // tokens late.
     const limit = createLimit();
     const getMs = (inFlight: number) => Math.max(0, inFlight - 80) * 20;
-    let nowMs = playSeconds(limit, 0, 120, getMs);
-    const seen: number[] = [];
+    let nowMs = simulateSeconds(limit, 0, 120, getMs);
+    const observedLimits: number[] = [];
     for (let minute = 0; minute < 10; minute += 1) {
-      nowMs = playSeconds(limit, nowMs, 10, getMs);
-      seen.push(limit.getLimit());
+      nowMs = simulateSeconds(limit, nowMs, 10, getMs);
+      observedLimits.push(limit.getLimit());
     }
-    expect(Math.min(...seen) >= 80).toEqual(true);
-    expect(Math.max(...seen) <= 88).toEqual(true);
+    expect(Math.min(...observedLimits) >= 80).toEqual(true);
+    expect(Math.max(...observedLimits) <= 88).toEqual(true);
   });
 
-  it('does not fall while targets have free slots, whatever first tokens say', () => {
-    // Caches are cold after a restart and first tokens are late at a fifth of the load. A lower limit
-    // would refuse callers in front of idle engines, and prompts that are never sent warm no cache.
+  it('does not decrease while targets have free slots, however late first tokens are', () => {
+    // Caches are cold after a restart, and first tokens are late at a fifth of the load. A lower
+    // limit would refuse callers while engines idle, and the caches would stay cold without
+    // prompts.
     const limit = createLimit();
     limit.setCapacity(100, 0.2);
-    playSeconds(limit, 0, 120, () => 900);
+    simulateSeconds(limit, 0, 120, () => 900);
     expect(limit.getLimit()).toEqual(100);
   });
 
-  it('follows the slots that are usable at once, both ways', () => {
+  it('scales at once with the usable slots, in both directions', () => {
     const limit = createLimit();
     limit.setCapacity(512);
     limit.setCapacity(352);
@@ -61,7 +63,7 @@
     expect(limit.getLimit()).toEqual(100);
   });
 
-  it('stays where it is while nobody asks for more', () => {
+  it('stays unchanged while it is not in use', () => {
     const limit = createLimit();
     for (let step = 0; step < 1_000; step += 1) limit.recordFirstToken(10, 5, step * 100);
     expect(limit.getLimit()).toEqual(100);
@@ -69,9 +71,9 @@
 
   it('never leaves its bounds', () => {
     const limit = createLimit();
-    playSeconds(limit, 0, 600, () => 5_000);
+    simulateSeconds(limit, 0, 600, () => 5_000);
     expect(limit.getLimit()).toEqual(10);
-    playSeconds(limit, 600_000, 1_200, () => 0);
+    simulateSeconds(limit, 600_000, 1_200, () => 0);
     expect(limit.getLimit()).toEqual(200);
   });
 });
--- a/packages/sequoiarill-decisions/src/__tests__/fairQueue.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/fairQueue.test.ts
@@ -9,9 +9,9 @@
 }
 
 describe('fairQueue', () => {
-  it('serves organisations by weight however much each of them sends', () => {
-    // A shop sends a hundred requests before another sends its ten. Served in order of arrival the
-    // second one's shoppers would wait for all hundred.
+  it('serves organisations by weight, however much each of them sends', () => {
+    // One organisation queues a hundred requests before another queues its own. In order of
+    // arrival, the second one would wait for all hundred.
     const queue = FairQueue.createFairQueue<FairQueue.QueuedWork>();
     for (let count = 0; count < 100; count += 1) queue.addItem(buildItem('large'));
     for (let count = 0; count < 100; count += 1) queue.addItem(buildItem('paid', { weight: 3 }));
@@ -35,7 +35,7 @@
     expect(queue.takeNext()?.priority).toEqual(1);
   });
 
-  it('keeps its sums right when items are removed from the middle', () => {
+  it('keeps its totals correct when items are removed', () => {
     const queue = FairQueue.createFairQueue<FairQueue.QueuedWork>();
     const item = buildItem('a');
     queue.addItem(item);
@@ -46,6 +46,6 @@
     expect(queue.getOrganisationWork('a')).toEqual(0);
     expect(queue.takeNext()?.organisation).toEqual('b');
     expect(queue.takeNext()).toEqual(undefined);
-    expect(queue.getWaitingCount()).toEqual(0);
+    expect(queue.getWaitingOrganisationCount()).toEqual(0);
   });
 });
--- a/packages/sequoiarill-decisions/src/admission.ts
+++ b/packages/sequoiarill-decisions/src/admission.ts
@@ -1,12 +1,12 @@
 /**
- * What is let in at once, what waits, and what is turned away at the door.
+ * Admission control: decides whether a request starts at once, is queued or is refused.
  *
- * Load patterns: a burst, saturation, a few organisations that send most of the load. Without a
- * decision at the door a saturated system accepts everything, every caller waits its full patience
- * and the work done for those who left is lost. Three checks, in this order: the organisation's own
- * limits (429); brown-out, which turns less important organisations away while more important work
- * waits (503); the expected wait at the organisation's fair share of the measured drain rate (503).
- * What is let in waits briefly in a queue that is fair by weight, and starts as generations end.
+ * Without it, a saturated system (a burst, sustained overload, a few organisations that send most
+ * of the load) accepts everything: every caller waits for its full timeout, and the work done for
+ * callers that have left is lost. Three checks run in this order: the organisation's own limits
+ * (429); brown-out, which refuses less important organisations while more important work waits
+ * (503); the expected wait at the organisation's fair share of the measured drain rate (503).
+ * Admitted requests wait briefly in a weighted fair queue and start as running generations end.
  */
 import type * as Types from './admissionTypes';
 import * as Costs from './cost';
@@ -19,9 +19,12 @@
 import * as Permits from './permits';
 import * as RetryAfter from './retryAfter';
 
-/** With an engine's first token of up to half a second this leaves 95 in 100 inside 1 s. */
+/**
+ * With up to half a second for an engine's first token, this keeps the 95th percentile of the time
+ * to the first token within 1 s.
+ */
 const DEFAULT_MAX_WAIT_MS = 400;
-/** 10,000 tokens a second of one engine. */
+/** One engine prefills 10,000 tokens a second. */
 const DEFAULT_PREFILL_MS_PER_TOKEN = 0.1;
 const DEFAULT_MAX_QUEUE_LENGTH = 2_000;
 
@@ -41,32 +44,32 @@
     prefillMsPerToken: options.prefillMsPerToken ?? DEFAULT_PREFILL_MS_PER_TOKEN,
   });
   const queuedByTicket = new Map<Types.Ticket, ModelQueues.QueuedTicket>();
-  const dropped: Types.TicketOutcome[] = [];
+  const evictions: Types.TicketOutcome[] = [];
 
-  function admitRequest(request: Types.AdmissionRequest, nowMs: number): Types.AdmissionAnswer {
+  function admitRequest(request: Types.AdmissionRequest, nowMs: number): Types.AdmissionDecision {
     const modelQueue = modelQueues.getModelQueue(request.model);
     const { organisation } = request;
     const cost = computeRequestCost(request, estimates);
-    const limited = limiter.reserveUse({
+    const reservation = limiter.reserveUse({
       organisation: organisation.name,
       limits: organisation.limits,
       share: options.getLimitShare?.(organisation.name, nowMs) ?? 1,
       tokens: cost.tokens,
       nowMs,
     });
-    if (limited.kind === 'over') return refuseOverLimit(limited);
+    if (reservation.kind === 'over') return refuseOverLimit(reservation);
     if (modelQueue.queue.getLength() > 0 || !modelQueue.hasRoom()) {
       return admitToQueue(modelQueue, request, cost, nowMs);
     }
     modelQueue.queue.recordStart(organisation.name, organisation.weight, cost.work);
     retryAfter.recordAdmitted(nowMs);
-    const question = {
+    const permitRequest = {
       organisation: organisation.name,
       model: request.model,
       cost,
       queuedAtMs: nowMs,
     };
-    return { kind: 'admitted', permit: permits.createPermit(question, nowMs) };
+    return { kind: 'admitted', permit: permits.createPermit(permitRequest, nowMs) };
   }
 
   function admitToQueue(
@@ -83,7 +86,7 @@
     const { victim } = decision;
     if (victim !== undefined) {
       modelQueue.removeTicket(victim);
-      dropped.push(refuseTicket(victim, 'overloaded: the queue is full', nowMs));
+      evictions.push(refuseTicket(victim, 'overloaded: the queue is full', nowMs));
     }
     const queued = QueueAdmissions.createQueuedTicket(request, decision, cost, nowMs);
     modelQueue.addTicket(queued);
@@ -112,13 +115,13 @@
     queuedByTicket.delete(queued.ticket);
     retryAfter.recordAdmitted(nowMs);
     const { organisation, cost, queuedAtMs, ticket } = queued;
-    const question = { organisation, model: ticket.model, cost, queuedAtMs };
-    const permit = permits.createPermit(question, nowMs);
+    const permitRequest = { organisation, model: ticket.model, cost, queuedAtMs };
+    const permit = permits.createPermit(permitRequest, nowMs);
     return { ticket, outcome: { kind: 'admitted', permit } };
   }
 
   function takeNext(nowMs: number): readonly Types.TicketOutcome[] {
-    const outcomes = dropped.splice(0);
+    const outcomes = evictions.splice(0);
     for (const modelQueue of modelQueues.listModelQueues()) {
       for (const queued of modelQueue.takeExpired(nowMs)) {
         outcomes.push(refuseTicket(queued, 'overloaded: no start within the bound', nowMs));
@@ -146,7 +149,7 @@
     removeTicket,
     recordFirstToken: permits.recordFirstToken,
     releasePermit: permits.releasePermit,
-    getNextDeadlineMs: () => (dropped.length > 0 ? 0 : modelQueues.getNextDeadlineMs()),
+    getNextDeadlineMs: () => (evictions.length > 0 ? 0 : modelQueues.getNextDeadlineMs()),
     setCapacity: (model, slots, busyShare) =>
       modelQueues.getModelQueue(model).limit.setCapacity(slots, busyShare),
     listModelQueues: () => modelQueues.listModelQueues().map(ModelQueues.dumpModelQueue),
@@ -166,7 +169,7 @@
   return Costs.computeCost({ promptTokens, cachedTokens, expectedOutputTokens });
 }
 
-function refuseOverLimit(limited: OrganisationLimits.OverLimit): Types.Refused {
-  const { retryAfterSeconds, message } = limited;
+function refuseOverLimit(overLimit: OrganisationLimits.OverLimit): Types.Refused {
+  const { retryAfterSeconds, message } = overLimit;
   return { kind: 'refused', reason: 'organisationLimit', retryAfterSeconds, message };
 }
--- a/packages/sequoiarill-decisions/src/admissionTypes.ts
+++ b/packages/sequoiarill-decisions/src/admissionTypes.ts
@@ -1,4 +1,4 @@
-/** What admission is asked and what it answers. */
+/** Input and results of admission control. */
 import type { Organisation } from '@sequoiarill/types';
 
 import type { ConcurrencyLimit } from './concurrencyLimit';
@@ -8,16 +8,19 @@
   readonly organisation: Pick<Organisation, 'name' | 'weight' | 'priority' | 'limits'>;
   readonly model: string;
   readonly promptTokens: number;
-  /** Part of the prompt that is probably in a prefix cache; none when absent. */
+  /** Prompt tokens that are probably in a prefix cache; 0 when absent. */
   readonly cachedTokens?: number;
   readonly maxOutputTokens: number;
-  /** Inside the organisation: 0 goes first. */
+  /** Order among the requests of the organisation; 0 goes first. */
   readonly priority?: number;
-  /** How long this caller may wait for a start, when shorter than the system's bound. */
+  /**
+   * Longest time in milliseconds that this caller waits for a start; applies if below the system's
+   * bound.
+   */
   readonly maxWaitMs?: number;
 }
 
-/** The right to run one generation; given back exactly once with `releasePermit`. */
+/** The right to run one generation; returned exactly once with `releasePermit`. */
 export interface Permit {
   readonly organisation: string;
   readonly model: string;
@@ -26,13 +29,13 @@
   readonly cost: Cost;
 }
 
-/** A place in the queue. */
+/** Identifies a queued request. */
 export interface Ticket {
   readonly organisation: string;
   readonly model: string;
   readonly queuedAtMs: number;
   readonly expectedWaitMs: number;
-  /** Dropped with a refusal when it has not started by then. */
+  /** The request is refused if it has not started by then. */
   readonly deadlineMs: number;
 }
 
@@ -48,13 +51,13 @@
 
 export interface Refused {
   readonly kind: 'refused';
-  /** `organisationLimit` is answered 429, `overloaded` 503. */
+  /** `organisationLimit` becomes status 429, `overloaded` becomes 503. */
   readonly reason: 'organisationLimit' | 'overloaded';
   readonly retryAfterSeconds: number;
   readonly message: string;
 }
 
-export type AdmissionAnswer = Admitted | Queued | Refused;
+export type AdmissionDecision = Admitted | Queued | Refused;
 
 export interface TicketOutcome {
   readonly ticket: Ticket;
@@ -63,22 +66,22 @@
 
 export interface PermitUsage {
   readonly outputTokens: number;
-  /** False for an answer that was cancelled or lost: its length says nothing of the next one's. */
+  /** False for a cancelled or lost answer; its length does not predict that of the next one. */
   readonly isComplete?: boolean;
 }
 
 export interface AdmissionOptions {
-  /** Uniform in [0, 1); spreads the times at which refused callers come back. */
+  /** Uniform in [0, 1); spreads the times at which refused callers retry. */
   readonly nextRandom: () => number;
-  /** One limit for each model, as its targets differ. */
+  /** Each model has a limit of its own, since the targets of models differ. */
   readonly createLimit: (model: string) => ConcurrencyLimit;
-  /** Part of an organisation's limit that this router may use; the whole of it when absent. */
+  /** Share of an organisation's limit that this router may use; 1 when absent. */
   readonly getLimitShare?: (organisation: string, nowMs: number) => number;
   /** Longest expected wait that is accepted, milliseconds. */
   readonly maxWaitMs?: number;
-  /** Prefill of one token that is not cached, milliseconds; taken off measured first tokens. */
+  /** Prefill time of one uncached token, milliseconds; subtracted from the time to first token. */
   readonly prefillMsPerToken?: number;
-  /** Requests that wait at once for one model. */
+  /** Most requests that may wait for one model at the same time. */
   readonly maxQueueLength?: number;
 }
 
@@ -92,17 +95,20 @@
 }
 
 export interface Admission {
-  readonly admitRequest: (request: AdmissionRequest, nowMs: number) => AdmissionAnswer;
-  /** Tickets that start now or are given up now; the caller wakes whoever holds them. */
+  readonly admitRequest: (request: AdmissionRequest, nowMs: number) => AdmissionDecision;
+  /** Tickets that start or are refused now; the caller must notify whoever waits on them. */
   readonly takeNext: (nowMs: number) => readonly TicketOutcome[];
-  /** For a caller who left while waiting: costs nothing any more. */
+  /** Removes the ticket of a caller that left while waiting, without any charge. */
   readonly removeTicket: (ticket: Ticket) => void;
-  /** Feeds the model's concurrency limit; `ms` from dispatch to the first token. */
+  /** Updates the model's concurrency limit; `ms` is the time from dispatch to the first token. */
   readonly recordFirstToken: (permit: Permit, ms: number, nowMs: number) => void;
-  readonly releasePermit: (permit: Permit, use: PermitUsage, nowMs: number) => void;
-  /** When the next ticket is given up unless it starts; for the caller's one timer. */
+  readonly releasePermit: (permit: Permit, usage: PermitUsage, nowMs: number) => void;
+  /** When the next ticket is refused unless it starts first; lets the caller use a single timer. */
   readonly getNextDeadlineMs: () => number | undefined;
-  /** Slots of a model's usable targets, at each change; see `ConcurrencyLimit.setCapacity`. */
+  /**
+   * Sets the slots of a model's usable targets; called at each change. See
+   * `ConcurrencyLimit.setCapacity`.
+   */
   readonly setCapacity: (model: string, slots: number, busyShare?: number) => void;
   readonly listModelQueues: () => readonly ModelQueueState[];
 }
--- a/packages/sequoiarill-decisions/src/concurrencyLimit.ts
+++ b/packages/sequoiarill-decisions/src/concurrencyLimit.ts
@@ -1,98 +1,102 @@
 /**
- * How many generations a router keeps running at once, found from the time to the first token.
+ * Adaptive limit of the generations that a router runs at once, based on the time to first token.
  *
- * Load pattern: saturation, and a fleet that loses or regains targets. A fixed limit is too high
- * after a loss, so engines queue and every first token is late, or too low afterwards, so engines
- * idle. The limit falls when first tokens are late, in proportion to how late, and rises while it is
- * in use, ever slower towards the target, so that it settles instead of swinging. It never moves
- * without fresh samples: after a cut the running generations end first, and their silence is no
- * reason for a second cut.
+ * When a saturated fleet loses or regains targets, a fixed limit is too high after the loss, so
+ * engines queue and every first token is late, or too low afterwards, so engines idle. The limit
+ * decreases when first tokens are late, in proportion to the lateness, and increases while it is in
+ * use, more slowly the closer the wait is to its target, so that it converges instead of
+ * oscillating. It never changes without fresh samples: after a decrease the running generations end
+ * first, and the lack of new first tokens in that time is no reason for another decrease.
  */
 
 export interface ConcurrencyLimitOptions {
   readonly initial: number;
   readonly min: number;
   readonly max: number;
-  /** Wanted 80th percentile of the wait for a slot of an engine, in milliseconds. */
+  /** Target for the 80th percentile of the wait for an engine slot, in milliseconds. */
   readonly targetMs: number;
 }
 
 export interface ConcurrencyLimit {
-  /** One first token of a generation that was let in; `inFlight` as it was let in. */
+  /**
+   * Records the wait for the first token of an admitted generation; `inFlight` is the count at its
+   * admission.
+   */
   readonly recordFirstToken: (ms: number, inFlight: number, nowMs: number) => void;
   /**
-   * Slots of the targets that can be used now, weighted by how warm they are. A change moves the limit
-   * in proportion at once: after a third of the targets is lost, the streams that are continued need
-   * every slot that is left, and finding the new limit from late first tokens takes half a minute.
-   * `busyShare`: part of these slots that is taken by reports, all routers together. While slots are
-   * free, late first tokens have another cause (a slow target, cold caches), and a lower limit would
-   * refuse callers without helping anybody.
+   * Sets the slots of the targets that are usable now, weighted by how warm they are. A change
+   * scales the limit at once: after the loss of a third of the targets, the continued streams need
+   * every remaining slot, and finding the new limit from late first tokens takes half a minute.
+   * `busyShare` is the share of these slots that load reports show as occupied, by all routers
+   * together. While slots are free, late first tokens have another cause (a slow target, cold
+   * caches), and a lower limit would refuse callers to no effect.
    */
   readonly setCapacity: (slots: number, busyShare?: number) => void;
   readonly getLimit: () => number;
 }
 
 /**
- * A wait that only comes up when engines have no slot free, and leaves a second for the queue before
- * them. Milliseconds; docs/design/0003 compares it with others.
+ * In milliseconds. A wait this long only occurs when engines have no free slot, and it leaves a
+ * second for the queue in front of them. docs/design/0003 compares it with other values.
  */
 export const DEFAULT_WAIT_TARGET_MS = 30;
-/** Judged are the newest samples: three seconds of a small router, less of a busy one. */
-const JUDGED_SAMPLES = 40;
-const JUDGED_SHARE = 0.8;
+/** Newest samples that are evaluated: three seconds of a small router, less of a busy one. */
+const EVALUATED_SAMPLES = 40;
+const EVALUATED_QUANTILE = 0.8;
 /**
- * The limit moves by these parts a second, a little with each sample. Moved by three seconds' worth at
- * once, each cut swallows the slots of the next generations that end, and nothing starts for half a
- * second.
+ * Relative change of the limit in a second, applied in small steps with each sample. If three
+ * seconds' worth were applied at once, each decrease would absorb the slots of the next generations
+ * that end, and nothing would start for half a second.
  */
-const CUT_PER_SECOND = 0.01;
-const RISE_PER_SECOND = 0.01;
-/** A small limit rises by a third of a generation a second at least. */
-const MIN_RISE_PER_SECOND = 0.33;
-/** Waits this many times over the target cut as much faster, up to the most. */
-const SEVERE_FACTOR = 10;
+const DECREASE_PER_SECOND = 0.01;
+const INCREASE_PER_SECOND = 0.01;
+/** Smallest increase, in generations a second, so that a small limit still grows. */
+const MIN_INCREASE_PER_SECOND = 0.33;
+/** Waits above this multiple of the target speed up the decrease, up to MAX_SEVERITY. */
+const SEVERE_WAIT_FACTOR = 10;
 const MAX_SEVERITY = 3;
-/** A longer silence counts as this, milliseconds. */
-const MAX_STEP_MS = 1_000;
+/** A longer time between two samples counts as this, milliseconds. */
+const MAX_ELAPSED_MS = 1_000;
 /**
- * Below this the targets are not what makes first tokens late. Without it a bad choice of target, which
- * makes them late at any load, lowers the limit to a small part of the capacity.
+ * Below this share of busy slots, late first tokens are not caused by the load of the targets.
+ * Without this check a bad choice of target, which delays first tokens at any load, would lower the
+ * limit to a small part of the capacity.
  */
 const MIN_BUSY_SHARE = 0.93;
-/** The limit only rises while this share of it is in use: unused room proves nothing. */
-const IN_USE_SHARE = 0.85;
+/** The limit only increases while this share of it is in use; an unused limit is no evidence. */
+const MIN_USED_SHARE = 0.85;
 
 export function createConcurrencyLimit(options: ConcurrencyLimitOptions): ConcurrencyLimit {
   let limit = options.initial;
   let samples: readonly Sample[] = [];
-  let lastMs: number | undefined;
+  let lastSampleMs: number | undefined;
   let capacity: number | undefined;
   let isBusy = true;
 
   function recordFirstToken(ms: number, inFlight: number, nowMs: number): void {
-    samples = [...samples.slice(-(JUDGED_SAMPLES - 1)), { ms, inFlight }];
-    const stepMs = Math.min(MAX_STEP_MS, Math.max(0, nowMs - (lastMs ?? nowMs)));
-    lastMs = nowMs;
-    if (samples.length < JUDGED_SAMPLES) return;
-    const judgedMs = pickRank(samples, JUDGED_SHARE);
-    const highest = samples.reduce((most, sample) => Math.max(most, sample.inFlight), 0);
-    const seconds = stepMs / 1000;
-    if (judgedMs <= options.targetMs) applyRise(judgedMs, highest, seconds);
-    else if (isBusy) applyCut(judgedMs, highest, seconds);
+    samples = [...samples.slice(-(EVALUATED_SAMPLES - 1)), { ms, inFlight }];
+    const elapsedMs = Math.min(MAX_ELAPSED_MS, Math.max(0, nowMs - (lastSampleMs ?? nowMs)));
+    lastSampleMs = nowMs;
+    if (samples.length < EVALUATED_SAMPLES) return;
+    const quantileMs = computeQuantile(samples, EVALUATED_QUANTILE);
+    const peakInFlight = samples.reduce((most, sample) => Math.max(most, sample.inFlight), 0);
+    const elapsedSeconds = elapsedMs / 1000;
+    if (quantileMs <= options.targetMs) applyIncrease(quantileMs, peakInFlight, elapsedSeconds);
+    else if (isBusy) applyDecrease(quantileMs, peakInFlight, elapsedSeconds);
   }
 
-  function applyCut(judgedMs: number, highest: number, seconds: number): void {
-    const lateness = judgedMs / (options.targetMs * SEVERE_FACTOR);
+  function applyDecrease(quantileMs: number, peakInFlight: number, elapsedSeconds: number): void {
+    const lateness = quantileMs / (options.targetMs * SEVERE_WAIT_FACTOR);
     const severity = Math.min(MAX_SEVERITY, Math.max(1, lateness));
-    const used = Math.min(limit, highest + 1);
-    limit = Math.max(options.min, used * (1 - CUT_PER_SECOND * severity * seconds));
+    const used = Math.min(limit, peakInFlight + 1);
+    limit = Math.max(options.min, used * (1 - DECREASE_PER_SECOND * severity * elapsedSeconds));
   }
 
-  function applyRise(judgedMs: number, highest: number, seconds: number): void {
-    if (highest < limit * IN_USE_SHARE) return;
-    const room = 1 - judgedMs / options.targetMs;
-    const step = Math.max(MIN_RISE_PER_SECOND, limit * RISE_PER_SECOND) * seconds;
-    limit = Math.min(options.max, limit + step * room);
+  function applyIncrease(quantileMs: number, peakInFlight: number, elapsedSeconds: number): void {
+    if (peakInFlight < limit * MIN_USED_SHARE) return;
+    const headroom = 1 - quantileMs / options.targetMs;
+    const step = Math.max(MIN_INCREASE_PER_SECOND, limit * INCREASE_PER_SECOND) * elapsedSeconds;
+    limit = Math.min(options.max, limit + step * headroom);
   }
 
   function setCapacity(slots: number, busyShare = 1): void {
@@ -111,7 +115,7 @@
   readonly inFlight: number;
 }
 
-function pickRank(samples: readonly Sample[], share: number): number {
+function computeQuantile(samples: readonly Sample[], quantile: number): number {
   const sorted = samples.map((sample) => sample.ms).sort((left, right) => left - right);
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))] ?? 0;
 }
--- a/packages/sequoiarill-decisions/src/expectedWait.ts
+++ b/packages/sequoiarill-decisions/src/expectedWait.ts
@@ -1,40 +1,48 @@
 /**
- * How long a prompt sent to a target now would wait for its first token.
+ * Estimates how long a prompt that is sent to a target now would wait for its first token.
  *
- * Load pattern: load reports that lag. Without a correction every router reads the same old report,
- * sends to the same idle-looking target, and the target is buried before the next report shows it.
- * So a report counts together with what was sent after it, fades with its age, and never says less
- * than this router's own work there.
+ * Load reports lag. Without a correction, all routers would read the same old report and send to
+ * the same target that looks idle, which would be overloaded before the next report shows it. So a
+ * report is combined with the work that was sent after it, loses weight with its age, and never
+ * counts less than this router's own work at the target.
  */
 import type { ChoiceRequest, TargetView } from './targets';
 
-/** A report is taken as it is up to this age: the usual lag, within which little else changes. */
+/** A report has its full weight up to this age: the usual lag, within which little else changes. */
 const REPORT_FRESH_MS = 2_500;
-/** An older one loses half of its weight in this time; about the length of a generation. */
+/**
+ * An older report loses half of its weight in this time, which is about the length of a generation.
+ */
 const REPORT_HALF_LIFE_MS = 15_000;
-/** Older reports say nothing any more. */
+/** Reports older than this are ignored. */
 const REPORT_MAX_AGE_MS = 30_000;
-/** Prefill of one token that is not cached, in milliseconds, where nothing was measured. */
+/** Prefill time of one uncached token, milliseconds, when there is no measurement. */
 const PREFILL_MS_PER_TOKEN = 0.1;
-/** A full target decodes slower than an empty one: the added cost of going from empty to full. */
-const BUSY_MS = 150;
-/** A request that finds no free slot waits for one; mean time in which one target frees a slot. */
+/** A full target decodes more slowly than an empty one; the additional cost of a full target. */
+const FULL_TARGET_COST_MS = 150;
+/** Mean time in which one target frees a slot, for requests that have to wait for one. */
 const SLOT_TURNOVER_MS = 250;
-/** A round trip to another zone and the price of its links; more than noise, less than a queue. */
-const OTHER_ZONE_MS = 60;
-/** A slow target is the last resort. */
-const SLOW_MS = 5_000;
-/** A stream that was cut once should not be the probe of a target that failed lately. */
-const PROBE_MS = 2_000;
-/** At most so many routers are taken to do what this one does. */
-const MAX_OTHERS_FACTOR = 3;
-/** How far an estimate is usually off, slots; docs/design/0003 compares it with others. */
+/**
+ * Round trip to another zone and the cost of its links; above the noise, below the cost of a queue.
+ */
+const REMOTE_ZONE_COST_MS = 60;
+/** High enough to make a slow target the last resort. */
+const SLOW_TARGET_COST_MS = 5_000;
+/**
+ * Keeps interrupted streams away from a target that failed recently and has not proved itself yet.
+ */
+const NEW_TARGET_COST_MS = 2_000;
+/**
+ * Upper bound of the factor by which this router's own change is scaled up to that of all routers.
+ */
+const MAX_FLEET_FACTOR = 3;
+/** Usual error of an estimate, slots; docs/design/0003 compares it with other values. */
 const ESTIMATE_ERROR_SLOTS = 1;
-/** Beyond this the error makes no difference. */
-const MAX_SCALED = 12;
+/** Beyond this the error has no effect on the result. */
+const MAX_SCALED_EXCESS = 12;
 const MIN_WARM_SHARE = 0.05;
 
-/** Work at the target now, its own and others', in generations. */
+/** Current work at the target from all routers, in generations. */
 export function computeOccupancy(
   view: TargetView,
   purpose: ChoiceRequest['purpose'] = 'first',
@@ -45,55 +53,57 @@
   const reported = view.reportedRunning + (view.reportedWaiting ?? 0);
   const weight = 0.5 ** (Math.max(0, ageMs - REPORT_FRESH_MS) / REPORT_HALF_LIFE_MS);
   const ownChange = view.sentSinceReport - (view.endedSinceReport ?? 0);
-  const corrected = reported + ownChange * computeOthersFactor(reported, ownChange, view, purpose);
-  const faded = weight * corrected + (1 - weight) * Math.max(view.inFlight, corrected / 2);
-  return Math.max(view.inFlight, faded);
+  const corrected = reported + ownChange * computeFleetFactor(reported, ownChange, view, purpose);
+  const discounted = weight * corrected + (1 - weight) * Math.max(view.inFlight, corrected / 2);
+  return Math.max(view.inFlight, discounted);
 }
 
 /**
- * A loss makes all routers continue their streams at the same moment, towards the same targets that
- * look emptiest; so what this router sent there is taken for its part of what all have sent. For new
- * prompts the routers are independent, and scaling would only make noise of their differences.
+ * After a loss all routers continue their streams at the same moment, at the targets that look
+ * least loaded, so the work that this router sent there is treated as its share of the work that
+ * all routers sent. For new prompts the routers are independent, and scaling would only amplify
+ * noise.
  */
-function computeOthersFactor(
+function computeFleetFactor(
   reported: number,
   ownChange: number,
   view: TargetView,
   purpose: ChoiceRequest['purpose'],
 ): number {
   if (purpose === 'first' || ownChange <= 0) return 1;
-  const ownBefore = Math.max(1, view.inFlight - ownChange);
-  return Math.min(MAX_OTHERS_FACTOR, Math.max(1, reported / ownBefore));
+  const ownInFlightBefore = Math.max(1, view.inFlight - ownChange);
+  return Math.min(MAX_FLEET_FACTOR, Math.max(1, reported / ownInFlightBefore));
 }
 
 /**
- * Expected slots that are missing when the estimate errs by some slots either way: near the brim a
- * target is worse than its estimate says, and one with room to spare is better. Without it a router
- * fills its own zone up to the last slot it believes in while another zone has room.
+ * Expected number of missing slots, given that the estimate may be off by some slots either way: a
+ * target that is nearly full is worse than its estimate, one with spare slots is better. Without
+ * this a router would fill the local zone up to the last estimated slot while another zone has free
+ * ones.
  */
 function computeExpectedExcess(excess: number): number {
   const scaled = excess / ESTIMATE_ERROR_SLOTS;
-  if (scaled > MAX_SCALED) return excess;
-  if (scaled < -MAX_SCALED) return 0;
+  if (scaled > MAX_SCALED_EXCESS) return excess;
+  if (scaled < -MAX_SCALED_EXCESS) return 0;
   return ESTIMATE_ERROR_SLOTS * Math.log1p(Math.exp(scaled));
 }
 
-export interface WaitQuestion {
+export interface ExpectedWaitQuery {
   readonly purpose: ChoiceRequest['purpose'];
   readonly zone: string;
   readonly promptTokens: number;
   readonly cachedShare: number;
 }
 
-/** Milliseconds; see the constants above for what each part stands for. */
-export function computeExpectedWait(view: TargetView, question: WaitQuestion): number {
+/** In milliseconds; the constants above explain the parts of the sum. */
+export function computeExpectedWait(view: TargetView, query: ExpectedWaitQuery): number {
   const usable = Math.max(1, view.slots * Math.max(view.warmShare, MIN_WARM_SHARE));
-  const occupancy = computeOccupancy(view, question.purpose);
+  const occupancy = computeOccupancy(view, query.purpose);
   const missingSlots = computeExpectedExcess(occupancy + 1 - usable);
-  const prefillMs = question.promptTokens * (1 - question.cachedShare) * PREFILL_MS_PER_TOKEN;
-  const zoneMs = view.zone === question.zone ? 0 : OTHER_ZONE_MS;
-  const slowMs = view.state === 'slow' ? SLOW_MS : 0;
-  const probeMs = view.state === 'new' && question.purpose === 'continuation' ? PROBE_MS : 0;
-  const busyMs = (Math.min(occupancy, usable) / usable) * BUSY_MS;
+  const prefillMs = query.promptTokens * (1 - query.cachedShare) * PREFILL_MS_PER_TOKEN;
+  const zoneMs = view.zone === query.zone ? 0 : REMOTE_ZONE_COST_MS;
+  const slowMs = view.state === 'slow' ? SLOW_TARGET_COST_MS : 0;
+  const probeMs = view.state === 'new' && query.purpose === 'continuation' ? NEW_TARGET_COST_MS : 0;
+  const busyMs = (Math.min(occupancy, usable) / usable) * FULL_TARGET_COST_MS;
   return busyMs + missingSlots * SLOT_TURNOVER_MS + prefillMs + zoneMs + slowMs + probeMs;
 }
--- a/packages/sequoiarill-decisions/src/fairQueue.ts
+++ b/packages/sequoiarill-decisions/src/fairQueue.ts
@@ -1,23 +1,24 @@
 /**
- * The queue before the engines: fair between organisations by weight, short before long inside one.
+ * The queue in front of the engines: weighted fair between organisations, and short requests before
+ * long ones within an organisation.
  *
- * Load pattern: a few organisations that send most of the load, and long generations among short.
- * First come, first served gives an organisation what it sends, not what its weight says, and one
- * long request holds back the short ones behind it. Start-time fair queueing (Goyal, Vin, Cheng 1996)
- * charges each organisation the work of its requests over its weight and takes the one that is least
- * ahead, in the logarithm of waiting organisations.
+ * With first come, first served, a few organisations that send most of the load would get a share
+ * in proportion to what they send instead of their weight, and one long request would hold back the
+ * short ones behind it. Start-time fair queueing (Goyal, Vin, Cheng 1996) charges each organisation
+ * the work of its requests divided by its weight, and serves the one with the lowest start tag in
+ * logarithmic time of the number of waiting organisations.
  */
 import * as Heap from './heap';
 
-/** A request may be overtaken by one of its own organisation that is shorter: its penalty per work. */
-const ORDER_MS_PER_WORK = 0.2;
-/** Never by more than this, so that long requests start as well. Milliseconds. */
-const MAX_ORDER_MS = 300;
+/** Sorting penalty for each unit of work, so that shorter requests overtake longer ones. */
+const LENGTH_PENALTY_MS_PER_WORK = 0.2;
+/** Upper bound of the penalty, so that long requests start as well. */
+const MAX_LENGTH_PENALTY_MS = 300;
 
 export interface QueuedWork {
   readonly organisation: string;
   readonly weight: number;
-  /** 0 goes first inside its organisation. */
+  /** Order within the organisation; 0 goes first. */
   readonly priority: number;
   readonly work: number;
   readonly queuedAtMs: number;
@@ -27,125 +28,131 @@
   readonly addItem: (item: Item) => void;
   readonly removeItem: (item: Item) => void;
   readonly takeNext: () => Item | undefined;
-  /** Charges work that was let in without waiting, so that it counts against its organisation. */
+  /** Charges an organisation for work that started without queueing. */
   readonly recordStart: (organisation: string, weight: number, work: number) => void;
   readonly getLength: () => number;
   readonly getWork: () => number;
   readonly getOrganisationWork: (organisation: string) => number;
-  /** Work that would start before a further request of this organisation. */
+  /** Work that would start before another request of this organisation. */
   readonly computeWorkAhead: (organisation: string, weight: number) => number;
-  readonly getWaitingCount: () => number;
-  /** The last item of the organisation that waits with most work over its weight. */
+  readonly getWaitingOrganisationCount: () => number;
+  /** The last item of the organisation that has the most waiting work in relation to its weight. */
   readonly findEvictionCandidate: () => Item | undefined;
 }
 
-interface Line<Item> {
+interface OrganisationQueue<Item> {
   readonly organisation: string;
   weight: number;
-  /** Work charged so far over weight, on the queue's virtual time. */
-  finish: number;
-  /** Virtual time at which its next item is due. */
-  start: number;
+  /** Finish tag: virtual time at which the work charged so far, divided by the weight, ends. */
+  finishTag: number;
+  /** Start tag: virtual time at which the next item is due. */
+  startTag: number;
   work: number;
   readonly items: Item[];
 }
 
 /**
- * How far an organisation that used less than its share may start before the others, in work over
- * weight. Without it one that asks for half of its share, but twice in a second, has its second request
- * put behind the backlog of those who ask for too much.
+ * How far an organisation that used less than its share may start ahead of the others, in work
+ * divided by weight. Without it, an organisation that uses half of its share but sends two requests
+ * in a second would have the second one queued behind the backlog of organisations that exceed
+ * their share.
  */
 const CREDIT = 8_000;
-/** Organisations with nothing waiting that are remembered for what they were charged. */
-const MAX_LINES = 20_000;
+/** Above this number, idle organisations are removed; until then their charges are kept. */
+const MAX_ORGANISATIONS = 20_000;
 
 export function createFairQueue<Item extends QueuedWork>(): FairQueue<Item> {
-  const lines = new Map<string, Line<Item>>();
-  const waiting = new Map<string, Line<Item>>();
-  const heap = Heap.createHeap<{ readonly line: Line<Item>; readonly start: number }>(
-    (entry) => entry.start,
-  );
+  const queues = new Map<string, OrganisationQueue<Item>>();
+  const waitingQueues = new Map<string, OrganisationQueue<Item>>();
+  const heap = Heap.createHeap<{
+    readonly queue: OrganisationQueue<Item>;
+    readonly startTag: number;
+  }>((entry) => entry.startTag);
   let virtualTime = 0;
   let length = 0;
   let totalWork = 0;
 
-  function getLine(organisation: string, weight: number): Line<Item> {
-    const known = lines.get(organisation);
-    if (known !== undefined) {
-      known.weight = weight;
-      return known;
+  function getQueue(organisation: string, weight: number): OrganisationQueue<Item> {
+    const existing = queues.get(organisation);
+    if (existing !== undefined) {
+      existing.weight = weight;
+      return existing;
     }
-    if (lines.size >= MAX_LINES) removeIdleLines();
-    const created = {
+    if (queues.size >= MAX_ORGANISATIONS) removeIdleQueues();
+    const queue = {
       organisation,
       weight,
-      finish: virtualTime - CREDIT,
-      start: virtualTime - CREDIT,
+      finishTag: virtualTime - CREDIT,
+      startTag: virtualTime - CREDIT,
       work: 0,
       items: [],
     };
-    lines.set(organisation, created);
-    return created;
+    queues.set(organisation, queue);
+    return queue;
   }
 
-  /** An idle line that is not ahead of virtual time says nothing. */
-  function removeIdleLines(): void {
-    for (const [name, line] of lines) {
-      if (line.items.length === 0 && line.finish <= virtualTime - CREDIT) lines.delete(name);
+  /**
+   * Removes idle organisations that are not ahead of the virtual time, since their charges have no
+   * effect.
+   */
+  function removeIdleQueues(): void {
+    for (const [name, queue] of queues) {
+      if (queue.items.length === 0 && queue.finishTag <= virtualTime - CREDIT) queues.delete(name);
     }
   }
 
-  function markWaiting(line: Line<Item>): void {
-    if (waiting.has(line.organisation)) return;
-    waiting.set(line.organisation, line);
-    const start = computeStart(line);
-    Object.assign(line, { start });
-    heap.addValue({ line, start });
+  function markWaiting(queue: OrganisationQueue<Item>): void {
+    if (waitingQueues.has(queue.organisation)) return;
+    waitingQueues.set(queue.organisation, queue);
+    const startTag = computeStartTag(queue);
+    Object.assign(queue, { startTag });
+    heap.addValue({ queue, startTag });
   }
 
-  function markIdle(line: Line<Item>): void {
-    waiting.delete(line.organisation);
+  function markIdle(queue: OrganisationQueue<Item>): void {
+    waitingQueues.delete(queue.organisation);
   }
 
-  function computeStart(line: Line<Item>): number {
-    return Math.max(virtualTime - CREDIT, line.finish);
+  function computeStartTag(queue: OrganisationQueue<Item>): number {
+    return Math.max(virtualTime - CREDIT, queue.finishTag);
   }
 
   function addItem(item: Item): void {
-    const line = getLine(item.organisation, item.weight);
-    line.items.splice(findPlace(line.items, item), 0, item);
-    line.work += item.work;
+    const queue = getQueue(item.organisation, item.weight);
+    queue.items.splice(findInsertionIndex(queue.items, item), 0, item);
+    queue.work += item.work;
     totalWork += item.work;
     length += 1;
-    markWaiting(line);
+    markWaiting(queue);
   }
 
   function removeItem(item: Item): void {
-    const line = lines.get(item.organisation);
-    const place = line?.items.indexOf(item) ?? -1;
-    if (line === undefined || place < 0) return;
-    line.items.splice(place, 1);
-    line.work -= item.work;
+    const queue = queues.get(item.organisation);
+    const index = queue?.items.indexOf(item) ?? -1;
+    if (queue === undefined || index < 0) return;
+    queue.items.splice(index, 1);
+    queue.work -= item.work;
     totalWork -= item.work;
     length -= 1;
-    // Its heap entry stays and is skipped when it comes up, or serves the line's next item.
+    // The heap entry stays; it is skipped when it is taken, or serves the next item of the
+    // organisation.
   }
 
   function takeNext(): Item | undefined {
     for (let entry = heap.takeFirst(); entry !== undefined; entry = heap.takeFirst()) {
-      const { line, start } = entry;
-      const item = line.items.shift();
+      const { queue, startTag } = entry;
+      const item = queue.items.shift();
       if (item === undefined) {
-        markIdle(line);
+        markIdle(queue);
       } else {
-        virtualTime = Math.max(virtualTime, start);
-        line.finish = start + item.work / line.weight;
-        line.work -= item.work;
+        virtualTime = Math.max(virtualTime, startTag);
+        queue.finishTag = startTag + item.work / queue.weight;
+        queue.work -= item.work;
         totalWork -= item.work;
         length -= 1;
-        line.start = line.finish;
-        if (line.items.length > 0) heap.addValue({ line, start: line.start });
-        else markIdle(line);
+        queue.startTag = queue.finishTag;
+        if (queue.items.length > 0) heap.addValue({ queue, startTag: queue.startTag });
+        else markIdle(queue);
         return item;
       }
     }
@@ -153,36 +160,39 @@
   }
 
   function recordStart(organisation: string, weight: number, work: number): void {
-    const line = getLine(organisation, weight);
-    const start = computeStart(line);
-    line.finish = start + work / weight;
-    // Nothing waits, so nobody was kept from the engines: earlier use is no debt.
-    if (length === 0) virtualTime = Math.max(virtualTime, start);
+    const queue = getQueue(organisation, weight);
+    const startTag = computeStartTag(queue);
+    queue.finishTag = startTag + work / weight;
+    // While nothing waits, nobody is held back, so earlier use must not count as debt.
+    if (length === 0) virtualTime = Math.max(virtualTime, startTag);
   }
 
-  function computeWorkBefore(organisation: string, weight: number): number {
-    const own = lines.get(organisation);
-    const ownWork = own?.work ?? 0;
-    const start = own === undefined ? virtualTime - CREDIT : computeStart(own);
-    const due = start + ownWork / weight;
+  function computeWorkAhead(organisation: string, weight: number): number {
+    const ownQueue = queues.get(organisation);
+    const ownWork = ownQueue?.work ?? 0;
+    const startTag = ownQueue === undefined ? virtualTime - CREDIT : computeStartTag(ownQueue);
+    const dueTag = startTag + ownWork / weight;
     let work = ownWork;
-    for (const line of waiting.values()) {
-      if (line !== own && line.start <= due && line.items.length > 0) {
-        const itemWork = line.work / line.items.length;
-        work += Math.min(line.work, (due - line.start) * line.weight + itemWork);
+    for (const queue of waitingQueues.values()) {
+      if (queue !== ownQueue && queue.startTag <= dueTag && queue.items.length > 0) {
+        const meanItemWork = queue.work / queue.items.length;
+        work += Math.min(queue.work, (dueTag - queue.startTag) * queue.weight + meanItemWork);
       }
     }
     return work;
   }
 
-  function findHeaviestLast(): Item | undefined {
-    let heaviest: Line<Item> | undefined;
-    for (const line of waiting.values()) {
-      if (heaviest === undefined || line.work / line.weight > heaviest.work / heaviest.weight) {
-        heaviest = line;
+  function findEvictionCandidate(): Item | undefined {
+    let heaviestQueue: OrganisationQueue<Item> | undefined;
+    for (const queue of waitingQueues.values()) {
+      if (
+        heaviestQueue === undefined ||
+        queue.work / queue.weight > heaviestQueue.work / heaviestQueue.weight
+      ) {
+        heaviestQueue = queue;
       }
     }
-    return heaviest?.items.at(-1);
+    return heaviestQueue?.items.at(-1);
   }
 
   return {
@@ -190,31 +200,31 @@
     removeItem,
     takeNext,
     recordStart,
-    findEvictionCandidate: findHeaviestLast,
+    findEvictionCandidate,
     getLength: () => length,
     getWork: () => totalWork,
-    getOrganisationWork: (organisation) => lines.get(organisation)?.work ?? 0,
-    computeWorkAhead: computeWorkBefore,
-    getWaitingCount: () => waiting.size,
+    getOrganisationWork: (organisation) => queues.get(organisation)?.work ?? 0,
+    computeWorkAhead,
+    getWaitingOrganisationCount: () => waitingQueues.size,
   };
 }
 
-function computeOrder(item: QueuedWork): number {
-  return item.queuedAtMs + Math.min(MAX_ORDER_MS, item.work * ORDER_MS_PER_WORK);
+function computeSortKeyMs(item: QueuedWork): number {
+  return item.queuedAtMs + Math.min(MAX_LENGTH_PENALTY_MS, item.work * LENGTH_PENALTY_MS_PER_WORK);
 }
 
-function isBefore(left: QueuedWork, right: QueuedWork): boolean {
+function hasPrecedence(left: QueuedWork, right: QueuedWork): boolean {
   if (left.priority !== right.priority) return left.priority < right.priority;
-  return computeOrder(left) < computeOrder(right);
+  return computeSortKeyMs(left) < computeSortKeyMs(right);
 }
 
-/** Binary search for the place behind all that go first. */
-function findPlace(items: readonly QueuedWork[], item: QueuedWork): number {
+/** Finds the index behind all items that go first, by binary search. */
+function findInsertionIndex(items: readonly QueuedWork[], item: QueuedWork): number {
   let low = 0;
   let high = items.length;
   while (low < high) {
     const middle = Math.floor((low + high) / 2);
-    if (isBefore(item, items[middle] as QueuedWork)) high = middle;
+    if (hasPrecedence(item, items[middle] as QueuedWork)) high = middle;
     else low = middle + 1;
   }
   return low;
