--- a/packages/sequoiarill-decisions/src/__tests__/availableTargets.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/availableTargets.test.ts
@@ -14,43 +14,45 @@
   }));
 }
 
-function listOpen(targets: readonly AvailableCandidate[], suspects: readonly string[] = []) {
+function listAvailable(targets: readonly AvailableCandidate[], suspects: readonly string[] = []) {
   return AvailableTargets.selectAvailable(targets, ({ id }) => suspects.includes(id)).map(
     ({ id }) => id,
   );
 }
 
-describe('targets open for new work', () => {
-  it('leaves a single target alone whose entry went while this router was cut off', () => {
-    // Order servers are replaced one after the other while a zone is cut off. Back in touch, its routers
-    // cannot tell a server that left from one whose entry lapsed, and book orders at the former.
+describe('targets available for new work', () => {
+  it('does not use a single target whose entry expired while this router was partitioned', () => {
+    // Order servers are replaced one by one while a zone is partitioned. After it reconnects, the
+    // zone's routers cannot tell a server that left from one whose entry expired, and would book
+    // orders at it.
     const targets = [
       ...createTargets('new', 2, 'ready'),
       ...createTargets('old', 1, 'unconfirmed'),
     ];
-    expect(listOpen(targets)).toEqual(['new0', 'new1']);
+    expect(listAvailable(targets)).toEqual(['new0', 'new1']);
   });
 
-  it('uses targets whose entries lapsed together', () => {
-    // The store was away and lost most entries. Their targets live; refused meanwhile, callers of a whole
-    // service would wait for two seconds.
+  it('uses targets whose entries expired together', () => {
+    // The store was unavailable and lost most entries, but their targets are alive. Without them,
+    // all callers of the service would be refused for two seconds.
     const targets = [
       ...createTargets('back', 1, 'ready'),
       ...createTargets('old', 2, 'unconfirmed'),
     ];
-    expect(listOpen(targets)).toEqual(['back0', 'old0', 'old1']);
+    expect(listAvailable(targets)).toEqual(['back0', 'old0', 'old1']);
   });
 
-  it('uses a zone own targets at the end of its cut, while all others are suspect', () => {
-    // A zone's targets lapse during its cut. When it ends, the others have not given a sign of life yet.
+  it('uses unconfirmed local targets after a partition while all others are suspected', () => {
+    // A zone's own entries expire while it is partitioned. When it reconnects, there is no liveness
+    // evidence of the other targets yet.
     const targets = [
       ...createTargets('far', 2, 'ready'),
       ...createTargets('own', 1, 'unconfirmed'),
     ];
-    expect(listOpen(targets, ['far0', 'far1'])).toEqual(['far0', 'far1', 'own0']);
+    expect(listAvailable(targets, ['far0', 'far1'])).toEqual(['far0', 'far1', 'own0']);
   });
 
-  it('never opens a target that is draining', () => {
-    expect(listOpen(createTargets('old', 2, 'draining'))).toEqual([]);
+  it('never uses a target that is draining', () => {
+    expect(listAvailable(createTargets('old', 2, 'draining'))).toEqual([]);
   });
 });
--- a/packages/sequoiarill-decisions/src/__tests__/budgets.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/budgets.test.ts
@@ -29,9 +29,9 @@
 });
 
 describe('continuationPacer', () => {
-  it('spaces a loss out and lets every stream go on inside the bound', () => {
-    // A zone is lost and one survivor gets 500 streams of 2,000 tokens each: 125 s of its prefill
-    // rate. All start within the bound, and the first ones at the survivor's own speed.
+  it('spreads the continuations of a loss and starts every one within the bound', () => {
+    // A zone is lost and one remaining target gets 500 streams of 2,000 tokens each: 125 s at its
+    // prefill rate. All must start within the bound, and the first ones at the target's own rate.
     const pacer = ContinuationPacer.createContinuationPacer({ tokensPerSecond: 8_000 });
     const starts = Array.from({ length: 500 }, () => pacer.reserveStart(0, 't', 2_000).startAtMs);
     expect(starts[0]).toEqual(0);
@@ -40,7 +40,7 @@
     expect([...starts].sort((left, right) => left - right)).toEqual(starts);
   });
 
-  it('starts a single continuation at once, whatever other targets have to do', () => {
+  it('starts a single continuation at once, whatever the backlog of other targets', () => {
     const pacer = ContinuationPacer.createContinuationPacer();
     for (let index = 0; index < 50; index += 1) pacer.reserveStart(0, 'busy', 4_000);
     expect(pacer.reserveStart(100, 'idle', 4_000).startAtMs).toEqual(100);
--- a/packages/sequoiarill-decisions/src/__tests__/clientRetryDetector.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/clientRetryDetector.test.ts
@@ -4,24 +4,25 @@
 
 import * as ClientRetryDetectors from '../clientRetryDetector';
 
-function createCheck() {
+function createRetryCheck() {
   const detector = ClientRetryDetectors.createClientRetryDetector();
-  return (givenMs: number) =>
-    detector.isClientRetry({ kind: 'booking', remainingMs: givenMs, objectiveMs: 300 });
+  return (remainingMs: number) =>
+    detector.isClientRetry({ kind: 'booking', remainingMs, objectiveMs: 300 });
 }
 
-describe('callers that come back', () => {
-  it('are known by the time that they still give', () => {
-    // A caller that gives four seconds is refused, and comes back a second later with three.
-    const check = createCheck();
-    expect(check(4_000)).toEqual(false);
-    expect(check(3_900)).toEqual(false);
-    expect(check(3_000)).toEqual(true);
+describe('client retry detection', () => {
+  it('recognises a retry by its shorter remaining time', () => {
+    // A caller with a timeout of four seconds is refused, and retries a second later with three
+    // left.
+    const isRetry = createRetryCheck();
+    expect(isRetry(4_000)).toEqual(false);
+    expect(isRetry(3_900)).toEqual(false);
+    expect(isRetry(3_000)).toEqual(true);
   });
 
-  it('are not told from others where callers give different times', () => {
-    const check = createCheck();
-    for (let index = 0; index < 200; index += 1) check(index % 4 === 0 ? 4_000 : 1_500);
-    expect(check(1_500)).toEqual(false);
+  it('treats no request as a retry where callers use different timeouts', () => {
+    const isRetry = createRetryCheck();
+    for (let index = 0; index < 200; index += 1) isRetry(index % 4 === 0 ? 4_000 : 1_500);
+    expect(isRetry(1_500)).toEqual(false);
   });
 });
--- a/packages/sequoiarill-decisions/src/answerDurations.ts
+++ b/packages/sequoiarill-decisions/src/answerDurations.ts
@@ -1,17 +1,17 @@
 /**
- * How long answers of a kind take, from those that ended lately.
+ * Estimates how long answers of a kind take, from recent ones.
  *
- * Load pattern: routers are stopped in turn while streams of six to nine seconds come in, and a stop
- * gives eight. A router that takes streams until the balancer has noticed cuts them at its end: 18
- * streams of one played day. Refused at once they cost their
- * callers some milliseconds, since the next connection reaches another router. So a request is taken
- * in a stop only if an answer of its kind ends in the time left, nearly always.
+ * Used while a router drains: it has eight seconds to stop, while streams of six to nine seconds
+ * keep arriving until the load balancer notices. A router that accepts them cuts them off when it
+ * exits (18 streams in one simulated day). Refusing them costs the callers only some milliseconds,
+ * since their next connection reaches another router. So a draining router accepts a request only
+ * if answers of its kind nearly always end in the time that is left.
  */
 
 export interface AnswerDurations {
-  /** One answer that was whole, milliseconds from its request to its end. */
+  /** Records a complete answer; `ms` is the time from its request to its end. */
   readonly recordAnswer: (kind: string, ms: number) => void;
-  /** Milliseconds that nearly all answers of the kind end within; the limit until some have been seen. */
+  /** Time within which nearly all answers of the kind end; `limitMs` with too few samples. */
   readonly getUpperBoundMs: (kind: string, limitMs: number) => number;
 }
 
@@ -21,14 +21,17 @@
   deviationMs: number;
 }
 
-/** Gains and headroom as for retransmission timers: some ten answers make an estimate. */
+/** Smoothing gains as for TCP retransmission timers; about ten answers make an estimate. */
 const MEAN_GAIN = 0.125;
 const DEVIATION_GAIN = 0.25;
-/** Mean deviations above the mean: nine in ten answers of a bell-shaped kind end within. */
+/** Mean deviations above the mean; covers nine in ten answers of a normal distribution. */
 const HEADROOM_DEVIATIONS = 1.6;
-/** Fewer prove nothing: a router that has just started saw one short stream, and took all in its stop. */
+/**
+ * Fewer samples are no basis for an estimate: a router that had just started had seen one short
+ * stream and therefore accepted every stream while it drained.
+ */
 const MIN_ANSWERS = 5;
-/** Kinds come from the configuration; those that it dropped are forgotten oldest first. */
+/** Bounds the memory for kinds no longer configured; the kind recorded first is evicted first. */
 const MAX_KINDS = 2_000;
 
 export function createAnswerDurations(): AnswerDurations {
@@ -36,22 +39,22 @@
 
   return {
     recordAnswer(kind, ms) {
-      const known = estimates.get(kind);
-      if (known === undefined) {
+      const estimate = estimates.get(kind);
+      if (estimate === undefined) {
         estimates.set(kind, { count: 1, meanMs: ms, deviationMs: ms / 4 });
         const oldest = estimates.keys().next();
         if (estimates.size > MAX_KINDS && oldest.done !== true) estimates.delete(oldest.value);
         return;
       }
-      const error = ms - known.meanMs;
-      known.count += 1;
-      known.meanMs += error * MEAN_GAIN;
-      known.deviationMs += (Math.abs(error) - known.deviationMs) * DEVIATION_GAIN;
+      const error = ms - estimate.meanMs;
+      estimate.count += 1;
+      estimate.meanMs += error * MEAN_GAIN;
+      estimate.deviationMs += (Math.abs(error) - estimate.deviationMs) * DEVIATION_GAIN;
     },
     getUpperBoundMs(kind, limitMs) {
-      const known = estimates.get(kind);
-      if (known === undefined || known.count < MIN_ANSWERS) return limitMs;
-      return Math.min(limitMs, known.meanMs + known.deviationMs * HEADROOM_DEVIATIONS);
+      const estimate = estimates.get(kind);
+      if (estimate === undefined || estimate.count < MIN_ANSWERS) return limitMs;
+      return Math.min(limitMs, estimate.meanMs + estimate.deviationMs * HEADROOM_DEVIATIONS);
     },
   };
 }
--- a/packages/sequoiarill-decisions/src/availableTargets.ts
+++ b/packages/sequoiarill-decisions/src/availableTargets.ts
@@ -1,13 +1,13 @@
 /**
- * Which targets of a service new work may go to, when the directory is unsure of some.
+ * Selects the targets of a service for new work when the directory cannot confirm some of them.
  *
- * Load pattern: entries of live targets lapse while the store is away, and are back within two seconds
- * of its return; without these targets a whole service is refused for that time. But a router that was
- * cut off sees the same when a target has left for good, and work that it sends there after its
- * own return is work for a VM that is leaving. So unconfirmed targets are used where a lapse is the
- * likely cause: more of them than of the confirmed ones, or no confirmed one that answers. Single
- * targets that went are left alone: order servers that are replaced around the end of a zone's cut would
- * get requests for longer than a leaving VM may.
+ * The entries of live targets expire while the store is unavailable and return within two seconds
+ * of its recovery; without these targets every request to the service is refused for that time. But
+ * after a network partition a router sees the same when a target has left for good, and would send
+ * work to a VM that is shutting down. So unconfirmed targets are used only where an expired entry
+ * is the likely cause: they outnumber the confirmed ones, or all confirmed ones are suspected to be
+ * down. A single unconfirmed target is not used: an order server that is replaced around the end of
+ * a zone's partition would otherwise receive requests for longer than a leaving VM may.
  */
 import type { TargetLocation } from './suspectTracker';
 
@@ -21,6 +21,6 @@
 ): readonly Candidate[] {
   const ready = targets.filter(({ state }) => state === 'ready');
   const unconfirmed = targets.filter(({ state }) => state === 'unconfirmed');
-  const isLapse = unconfirmed.length > ready.length || ready.every(isSuspect);
-  return isLapse ? [...ready, ...unconfirmed] : ready;
+  const isLapseLikely = unconfirmed.length > ready.length || ready.every(isSuspect);
+  return isLapseLikely ? [...ready, ...unconfirmed] : ready;
 }
--- a/packages/sequoiarill-decisions/src/clientRetryDetector.ts
+++ b/packages/sequoiarill-decisions/src/clientRetryDetector.ts
@@ -1,56 +1,57 @@
 /**
- * Which requests come from callers that have waited before.
+ * Detects requests that a client sends again after it was refused.
  *
- * Load pattern: callers that were refused come back into the same crowd. Nothing in a request says so but
- * the time that its caller still gives, which is shorter by what has passed. It counts as returning
- * when more than the objective is missing from the longest time given for its kind, since then its answer is
- * late whatever is done. Where callers give different times anyway, that proves nothing: if more
- * than half of the requests look like returning ones, none is taken for one.
+ * Refused callers retry into the same overload. The only sign of a retry is the remaining time in
+ * the request, which is shorter by the time that has passed. A request counts as a retry if its
+ * remaining time is below the longest one seen for its kind by more than the latency objective,
+ * since its answer is then late in any case. Where callers use different timeouts anyway, this
+ * proves nothing: if more than half of the requests look like retries, none is treated as one.
  */
 
 export interface ClientRetryQuery {
-  /** Requests of one kind come with the same time, normally. */
+  /** Requests of one kind normally have the same timeout. */
   readonly kind: string;
   readonly remainingMs: number;
   readonly objectiveMs: number;
 }
 
 export interface ClientRetryDetector {
-  readonly isClientRetry: (question: ClientRetryQuery) => boolean;
+  readonly isClientRetry: (query: ClientRetryQuery) => boolean;
 }
 
-interface Known {
-  longestMs: number;
-  /** Share of requests that look like returning ones, smoothed. */
-  shortShare: number;
+interface RequestKindStatistics {
+  longestRemainingMs: number;
+  /** Smoothed share of requests that look like retries. */
+  apparentRetryShare: number;
 }
 
-/** The last fifty requests count. */
+/** Smoothing over about the last fifty requests. */
 const SHARE_GAIN = 0.02;
-const MAX_SHORT_SHARE = 0.5;
-/** Kinds come from the configuration; those that it dropped are forgotten oldest first. */
+const MAX_APPARENT_RETRY_SHARE = 0.5;
+/** Bounds the memory for kinds no longer configured; the kind recorded first is evicted first. */
 const MAX_KINDS = 2_000;
 
 export function createClientRetryDetector(): ClientRetryDetector {
-  const knownByKind = new Map<string, Known>();
+  const kinds = new Map<string, RequestKindStatistics>();
 
-  function getKnown(kind: string): Known {
-    const known = knownByKind.get(kind);
-    if (known !== undefined) return known;
-    const created: Known = { longestMs: 0, shortShare: 0 };
-    knownByKind.set(kind, created);
-    const oldest = knownByKind.keys().next();
-    if (knownByKind.size > MAX_KINDS && oldest.done !== true) knownByKind.delete(oldest.value);
-    return created;
+  function getStatistics(kind: string): RequestKindStatistics {
+    const existing = kinds.get(kind);
+    if (existing !== undefined) return existing;
+    const statistics: RequestKindStatistics = { longestRemainingMs: 0, apparentRetryShare: 0 };
+    kinds.set(kind, statistics);
+    const oldest = kinds.keys().next();
+    if (kinds.size > MAX_KINDS && oldest.done !== true) kinds.delete(oldest.value);
+    return statistics;
   }
 
   return {
-    isClientRetry({ kind, remainingMs: givenMs, objectiveMs }) {
-      const known = getKnown(kind);
-      known.longestMs = Math.max(known.longestMs, givenMs);
-      const isShort = known.longestMs - givenMs > objectiveMs;
-      known.shortShare += ((isShort ? 1 : 0) - known.shortShare) * SHARE_GAIN;
-      return isShort && known.shortShare <= MAX_SHORT_SHARE;
+    isClientRetry({ kind, remainingMs, objectiveMs }) {
+      const statistics = getStatistics(kind);
+      statistics.longestRemainingMs = Math.max(statistics.longestRemainingMs, remainingMs);
+      const looksLikeRetry = statistics.longestRemainingMs - remainingMs > objectiveMs;
+      statistics.apparentRetryShare +=
+        ((looksLikeRetry ? 1 : 0) - statistics.apparentRetryShare) * SHARE_GAIN;
+      return looksLikeRetry && statistics.apparentRetryShare <= MAX_APPARENT_RETRY_SHARE;
     },
   };
 }
--- a/packages/sequoiarill-decisions/src/continuationPacer.ts
+++ b/packages/sequoiarill-decisions/src/continuationPacer.ts
@@ -1,21 +1,21 @@
 /**
  * Spreads the continuations of many streams that were lost at once.
  *
- * Load pattern: a zone is lost, 63,000 streams at the size to design for, each one a prefill of prompt
- * and output on the survivors. Sent at once they sit before every new prompt and no caller gets a
- * first token for seconds; spread evenly without a bound they break the promise to go on within 3 s.
- * Each target has a line of reserved prefill; a backlog that would take longer than the bound is
- * compressed smoothly into it, so that the first of a large loss start spaced out and none is later
- * than `maxDelayMs`.
+ * The loss of a zone interrupts 63,000 streams at the design size, and each needs a prefill of its
+ * prompt and output on the remaining targets. Sent at once, they delay every new prompt, and no
+ * caller gets a first token for seconds; spread evenly without a bound, they miss the guarantee to
+ * resume within 3 s. So each target has a schedule of reserved prefill time. A backlog that would
+ * take longer than the bound is compressed smoothly: the first continuations of a large loss start
+ * at regular intervals, and none starts later than `maxDelayMs`.
  */
 
 /**
- * Prefill that one router sends to one target for continuations, tokens a second. Spaced wider, a third
- * of the targets lost gave longest silences of 3.8 s at 8,000 and 6.8 s at 4,000, of 2.6 s at this, and
- * of 4.0 s without any spacing (docs/design/0003).
+ * Prefill that one router sends to one target for continuations, tokens a second. When a third of
+ * the targets was lost, the longest interruption was 2.6 s at this rate, 3.8 s at 8,000, 6.8 s at
+ * 4,000, and 4.0 s without any pacing (docs/design/0003).
  */
 const DEFAULT_TOKENS_PER_SECOND = 32_000;
-/** Leaves half a second of the 3 s for detection at the eager bound or a cached prefill. */
+/** Leaves half a second of the 3 s for detection with the short timeout or a cached prefill. */
 const DEFAULT_MAX_DELAY_MS = 2_500;
 
 export interface ContinuationPacerOptions {
@@ -24,14 +24,16 @@
 }
 
 export interface StartReservation {
-  /** On the clock of `nowMs`; never later than the bound after it. */
+  /** On the clock of `nowMs`; at most `maxDelayMs` after it. */
   readonly startAtMs: number;
 }
 
 export interface ContinuationPacer {
   /**
-   * From here on the caller counts the stream as in flight at the target, or the streams lost beside it
-   * choose the same one. `costTokens`: to prefill at the target, so without what is cached there. */
+   * The caller must count the stream as in flight at the target from now on; otherwise the other
+   * streams of the same loss choose the same target. `costTokens` are the tokens to prefill at the
+   * target, without those that are cached there.
+   */
   readonly reserveStart: (nowMs: number, target: string, costTokens: number) => StartReservation;
   readonly removeTarget: (target: string) => void;
 }
@@ -39,23 +41,23 @@
 export function createContinuationPacer(options: ContinuationPacerOptions = {}): ContinuationPacer {
   const tokensPerSecond = options.tokensPerSecond ?? DEFAULT_TOKENS_PER_SECOND;
   const maxDelayMs = options.maxDelayMs ?? DEFAULT_MAX_DELAY_MS;
-  const freeAtByTarget = new Map<string, number>();
+  const freeAtMsByTarget = new Map<string, number>();
 
   function reserveStart(nowMs: number, target: string, costTokens: number): StartReservation {
-    const freeAtMs = Math.max(nowMs, freeAtByTarget.get(target) ?? nowMs);
+    const freeAtMs = Math.max(nowMs, freeAtMsByTarget.get(target) ?? nowMs);
     const backlogMs = freeAtMs - nowMs;
-    freeAtByTarget.set(target, freeAtMs + (costTokens / tokensPerSecond) * 1000);
+    freeAtMsByTarget.set(target, freeAtMs + (costTokens / tokensPerSecond) * 1000);
     return { startAtMs: nowMs + computeDelay(backlogMs, maxDelayMs) };
   }
 
   function removeTarget(target: string): void {
-    freeAtByTarget.delete(target);
+    freeAtMsByTarget.delete(target);
   }
 
   return { reserveStart, removeTarget };
 }
 
-/** About the backlog itself while it is small, and below the bound however large it is. */
+/** Close to the backlog while that is small, and below the bound for any backlog. */
 function computeDelay(backlogMs: number, maxDelayMs: number): number {
   return maxDelayMs * (1 - Math.exp(-backlogMs / maxDelayMs));
 }
--- a/packages/sequoiarill-decisions/src/enginePlacement.ts
+++ b/packages/sequoiarill-decisions/src/enginePlacement.ts
@@ -1,166 +1,178 @@
 /**
- * Chooses the engine of a run, and the one that keeps a copy of its memory.
+ * Chooses the engine of a run, and the engine that holds the copy of its KV cache.
  *
- * Load pattern: prompts of thousands of tokens, each of which occupies an engine for a second, on engines
- * that crash a zone at a time. Placed by this router's own work alone, prompts of several routers meet
- * at one engine while its neighbours idle: first events wait for the sum of the prompts before them,
- * and events of running streams come between their chunks. Placed on a dead engine they wait for
- * nothing. So some engines are asked for their load just before, those that do not answer are left out,
- * and the copy goes to another zone, which the next crash is unlikely to take as well.
+ * A prompt of thousands of tokens occupies an engine for a second, and engines crash a zone at a
+ * time. If a router considered its own work only, prompts of several routers would collide at one
+ * engine while others idle: first events would wait for all prompts ahead of them, and events of
+ * running streams would be delayed between prefill chunks. A prompt sent to a dead engine waits in
+ * vain. So the router queries the load of some engines just before the choice, leaves out those
+ * that do not respond, and places the copy in another zone, which the next crash is unlikely to
+ * affect as well.
  */
 
 import * as Names from './names';
 
-/** One engine that was asked, as it answered. */
+/** State of one engine as it reported it in response to the query. */
 export interface EngineView {
   readonly id: string;
   readonly zone: string;
   readonly running: number;
   readonly queued: number;
-  /** Runs that have not made their first event yet. */
+  /** Runs that have not produced their first event yet. */
   readonly prefilling: number;
-  /** What this router sent there since the engine counted. */
+  /** Runs that this router sent there after the engine counted its load. */
   readonly sentSince: number;
   readonly usedTokens: number;
   readonly totalTokens: number;
-  /** Tokens of this prompt that it keeps and need not prefill; 0 where it was not asked. */
+  /** Tokens of this prompt that are cached there and need no prefill; 0 if that was not queried. */
   readonly keptTokens: number;
 }
 
-export interface EnginePlacementQuestion {
+export interface EnginePlacementQuery {
   readonly views: readonly EngineView[];
   /** Zone of this router. */
   readonly zone: string;
   readonly promptTokens: number;
-  /** Of a run that another router sent, since reports do not tell; see `createPromptEstimates`. */
+  /**
+   * Assumed for runs of other routers, since load reports lack their size; see
+   * `createPromptEstimates`.
+   */
   readonly usualPromptTokens: number;
   readonly prefillMsPerToken: number;
 }
 
 export interface EnginePlacement {
   readonly target: string;
-  /** Prompts that are read there first. */
+  /** Prompts that the engine prefills first. */
   readonly promptsAhead: number;
   /** Expected wait for the first event there, milliseconds. */
   readonly firstEventMs: number;
   readonly backup?: string;
 }
 
-/** A prompt's chunks come between the events of each stream that runs there, milliseconds. */
-const DISTURBED_STREAM_MS = 40;
-/** A way to another zone takes a millisecond or two and crosses links that can be cut. */
-const OTHER_ZONE_MS = 60;
-/** An engine without room preempts or refuses: the last resort, milliseconds. */
-const NO_ROOM_MS = 10_000;
-/** Output and other requests' growth that must still fit beside the prompt, tokens. */
+/** Cost for each stream that runs there, whose events are delayed by the chunks of the prompt. */
+const DISTURBED_STREAM_COST_MS = 40;
+/** A connection to another zone adds a millisecond or two and depends on links that can fail. */
+const REMOTE_ZONE_COST_MS = 60;
+/** An engine without enough free KV cache preempts or refuses; it is the last resort. */
+const NO_CAPACITY_COST_MS = 10_000;
+/** Space that must remain beside the prompt for its output and the growth of other runs, tokens. */
 const HEADROOM_TOKENS = 2_000;
 
 /**
- * A kept prompt saves its prefill to this run and to those that would wait behind it elsewhere; so a
- * keeper that reads one other prompt is still the better place.
+ * A cached prompt saves the prefill for this run and for those that would wait behind it at another
+ * engine, so an engine that holds the prompt is preferred even if it prefills one other prompt
+ * first.
  */
-const KEPT_FACTOR = 2;
+const CACHED_TOKEN_WEIGHT = 2;
 
 function countPromptsAhead({ prefilling, queued, sentSince }: EngineView): number {
   return prefilling + queued + sentSince;
 }
 
-/** Expected cost of a run there, milliseconds until the first event and to others. */
-export function computeEngineCost(view: EngineView, question: EnginePlacementQuestion): number {
-  const { promptTokens, zone, usualPromptTokens, prefillMsPerToken } = question;
+/**
+ * Expected cost of a run there, milliseconds: its own wait for the first event and the delay to
+ * others.
+ */
+export function computeEngineCost(view: EngineView, query: EnginePlacementQuery): number {
+  const { promptTokens, zone, usualPromptTokens, prefillMsPerToken } = query;
   const waitMs = countPromptsAhead(view) * usualPromptTokens * prefillMsPerToken;
-  const ownMs = (promptTokens - view.keptTokens * KEPT_FACTOR) * prefillMsPerToken;
+  const prefillMs = (promptTokens - view.keptTokens * CACHED_TOKEN_WEIGHT) * prefillMsPerToken;
   const streams = Math.max(0, view.running - view.prefilling);
-  const zoneMs = view.zone === zone ? 0 : OTHER_ZONE_MS;
+  const zoneMs = view.zone === zone ? 0 : REMOTE_ZONE_COST_MS;
   const needed = view.usedTokens + promptTokens + HEADROOM_TOKENS;
-  const roomMs = needed > view.totalTokens ? NO_ROOM_MS : 0;
-  return ownMs + waitMs + streams * DISTURBED_STREAM_MS + zoneMs + roomMs;
+  const capacityMs = needed > view.totalTokens ? NO_CAPACITY_COST_MS : 0;
+  return prefillMs + waitMs + streams * DISTURBED_STREAM_COST_MS + zoneMs + capacityMs;
 }
 
-/** Engines of the router's own zone that are asked for one prompt, and most of any zone. */
-const OWN_ZONE_SAMPLE = 2;
-/** Engines of all other zones together that are asked. */
-const OTHER_ZONES_SAMPLE = 4;
+/** Engines of the local zone that are queried for one prompt; also the maximum for any zone. */
+const LOCAL_ZONE_SAMPLE = 2;
+/** Engines of all other zones together that are queried for one prompt. */
+const REMOTE_ZONES_SAMPLE = 4;
 
 /**
- * How many engines of a zone are asked for one prompt.
+ * Returns how many engines of a zone are queried for one prompt.
  *
- * Load pattern: many zones. A question costs a check and mostly a connection, and two engines of each
- * zone are as many as six in three zones but ten in five, which find no better place. So the number of
- * zones hardly counts; one engine of each is asked, since whole zones go at once.
+ * A query costs the engine a check and mostly a new connection. Two engines of each zone are six in
+ * three zones but ten in five, which find no better placement. So the total hardly grows with the
+ * number of zones; at least one engine of each zone is queried, since all engines of a zone can
+ * fail at once.
  */
-export function computeZoneSampleSize(isOwn: boolean, zones: number): number {
-  if (isOwn) return OWN_ZONE_SAMPLE;
-  const share = Math.floor(OTHER_ZONES_SAMPLE / Math.max(1, zones - 1));
-  return Math.min(OWN_ZONE_SAMPLE, Math.max(1, share));
+export function computeZoneSampleSize(isLocal: boolean, zones: number): number {
+  if (isLocal) return LOCAL_ZONE_SAMPLE;
+  const share = Math.floor(REMOTE_ZONES_SAMPLE / Math.max(1, zones - 1));
+  return Math.min(LOCAL_ZONE_SAMPLE, Math.max(1, share));
 }
 
 /**
- * The engines that are asked for one prompt: of each zone the same first ones on every router.
+ * Selects the engines to query for one prompt: every router selects the same ones of each zone.
  *
- * Load pattern: a router dies or is stopped, and the callers of its streams come back to other
- * routers for the rest. Asked at random, the engine that still keeps the prompt is found by luck, and
- * some tens of prompts are prefilled once more while engines are short.
+ * When a router dies or is stopped, the callers of its streams resume through other routers. With a
+ * random selection, the engine that still caches the prompt would be found by chance only, and some
+ * tens of prompts would be prefilled again while engines are scarce.
  */
 export function selectCandidates<Engine extends { readonly id: string; readonly zone: string }>(
   engines: readonly Engine[],
   prompt: string,
-  countIn: (zone: string) => number,
+  getSampleSize: (zone: string) => number,
 ): readonly Engine[] {
   const digest = Names.hashName(prompt);
   const ranked = engines
     .map((engine) => ({ engine, rank: Names.hashPair(Names.hashName(engine.id), digest) }))
     .sort((left, right) => right.rank - left.rank);
-  const taken = new Map<string, number>();
+  const takenByZone = new Map<string, number>();
   return ranked
     .filter(({ engine }) => {
-      const count = (taken.get(engine.zone) ?? 0) + 1;
-      taken.set(engine.zone, count);
-      return count <= countIn(engine.zone);
+      const count = (takenByZone.get(engine.zone) ?? 0) + 1;
+      takenByZone.set(engine.zone, count);
+      return count <= getSampleSize(engine.zone);
     })
     .map(({ engine }) => engine);
 }
 
-/** Tokens of a prompt that need no prefill: a part is of use only behind all parts before it. */
+/**
+ * Tokens of a prompt that need no prefill: a cached part is usable only if all parts before it are
+ * cached.
+ */
 export function computeCachedTokens(
   parts: readonly { readonly id: string; readonly tokens: number }[],
-  kept: ReadonlyMap<string, number>,
+  cachedTokensById: ReadonlyMap<string, number>,
 ): number {
   let tokens = 0;
   for (const part of parts) {
-    const found = Math.min(part.tokens, kept.get(part.id) ?? 0);
-    tokens += found;
-    if (found < part.tokens) return tokens;
+    const cachedTokens = Math.min(part.tokens, cachedTokensById.get(part.id) ?? 0);
+    tokens += cachedTokens;
+    if (cachedTokens < part.tokens) return tokens;
   }
   return tokens;
 }
 
 /**
- * Those of `engines` that are best to keep the copy of a run: in another zone than the run, which the
- * next crash is unlikely to take as well; of these, in the router's own, since a copy there is left when
- * the link between the zones is cut.
+ * Selects the engines that are preferred for the copy of a run: those in another zone than the run,
+ * which the next crash is unlikely to affect as well; among these, those in the router's zone,
+ * since a copy there remains reachable when the link between the zones fails.
  */
 export function selectCopyHolders<Engine extends { readonly zone: string }>(
   engines: readonly Engine[],
   runZone: string,
   routerZone: string,
 ): readonly Engine[] {
-  const elsewhere = engines.filter(({ zone }) => zone !== runZone);
-  const near = elsewhere.filter(({ zone }) => zone === routerZone);
-  return [near, elsewhere, engines].find((some) => some.length > 0) ?? [];
+  const remote = engines.filter(({ zone }) => zone !== runZone);
+  const local = remote.filter(({ zone }) => zone === routerZone);
+  return [local, remote, engines].find((group) => group.length > 0) ?? [];
 }
 
-/** Undefined when no engine was there to choose from. */
-export function chooseEngines(question: EnginePlacementQuestion): EnginePlacement | undefined {
-  const target = pickCheapest(question.views, question);
+/** Returns undefined if there is no engine to choose from. */
+export function chooseEngines(query: EnginePlacementQuery): EnginePlacement | undefined {
+  const target = pickCheapest(query.views, query);
   if (target === undefined) return undefined;
-  const others = question.views.filter(({ id }) => id !== target.id);
-  const holders = selectCopyHolders(others, target.zone, question.zone);
-  const backup = pickCheapest(holders, { ...question, zone: '' });
+  const others = query.views.filter(({ id }) => id !== target.id);
+  const holders = selectCopyHolders(others, target.zone, query.zone);
+  const backup = pickCheapest(holders, { ...query, zone: '' });
   const promptsAhead = countPromptsAhead(target);
-  const ownTokens = Math.max(0, question.promptTokens - target.keptTokens);
-  const tokensAhead = promptsAhead * question.usualPromptTokens;
-  const firstEventMs = (tokensAhead + ownTokens) * question.prefillMsPerToken;
+  const uncachedTokens = Math.max(0, query.promptTokens - target.keptTokens);
+  const tokensAhead = promptsAhead * query.usualPromptTokens;
+  const firstEventMs = (tokensAhead + uncachedTokens) * query.prefillMsPerToken;
   return {
     target: target.id,
     promptsAhead,
@@ -171,12 +183,12 @@
 
 function pickCheapest(
   views: readonly EngineView[],
-  question: EnginePlacementQuestion,
+  query: EnginePlacementQuery,
 ): EngineView | undefined {
   let best: EngineView | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const view of views) {
-    const cost = computeEngineCost(view, question);
+    const cost = computeEngineCost(view, query);
     if (cost < bestCost) {
       best = view;
       bestCost = cost;
