--- a/packages/sequoiarill-decisions/src/crashTracker.ts
+++ b/packages/sequoiarill-decisions/src/crashTracker.ts
@@ -1,121 +1,133 @@
 /**
- * Which requests are to blame for crashes of the targets that ran them.
+ * Detects requests that crash the targets that run them.
  *
- * Load pattern: a request that crashes its target is sent to the next one, and its caller sends it again
- * under another id, to any router. Each time as many targets end as the route allows sends, with the
- * streams of all other callers there. So crashes are counted by what a request asks, over all routers,
- * and a content under which several targets ended is blocked for a while.
+ * A request that crashes its target is retried at the next one, and its caller sends it again under
+ * another id, to any router. Each time it terminates as many targets as the route allows attempts,
+ * together with the streams of all other callers there. So crashes are counted by the content of
+ * the request (method, host, path, organisation and body) over all routers, and a content that
+ * several targets crashed with is blocked for some time.
  *
- * A sound request that is at a target when it crashes is counted with the others. It is served at the
- * next target, and an answer refutes the crashes of its content before it.
+ * A harmless request that runs at a target when it crashes is counted as well. It is served by the
+ * next target, and an answer refutes all earlier crashes of its content.
  */
 
 import type { ContentBlock, Crash } from '@sequoiarill/types';
 
-/** `refuted`: the content has been answered since the first of the crashes. */
+/**
+ * `news`: the content was not blocked before and is now. `known`: the report changes nothing about
+ * that. `refuted`: the content has been answered since the first of the crashes.
+ */
 export type BlockResult = 'news' | 'known' | 'refuted';
-/** `crashes`: some were counted that came before the answer; `block`: the content was blocked by them. */
+/** `crashes`: the answer refutes crashes counted before it; `block`: it also lifts a block. */
 export type RefutationResult = 'nothing' | 'crashes' | 'block';
 
 export interface CrashTracker {
-  /** The block that follows, also where it was known before; undefined for fewer crashes. */
+  /** Returns the resulting block, new or existing; undefined below the crash threshold. */
   readonly recordCrash: (crash: Crash, nowMs: number) => ContentBlock | undefined;
-  /** Another router knows the content to be blocked. */
+  /** Records a block that another router reported. */
   readonly recordBlock: (block: ContentBlock, nowMs: number) => BlockResult;
-  /** The content was answered in whole; says what that refutes. */
+  /** Records a complete answer to the content; returns what it refutes. */
   readonly recordAnswer: (content: string, atMs: number, nowMs: number) => RefutationResult;
   readonly findBlock: (content: string, nowMs: number) => ContentBlock | undefined;
-  /** How much longer the content is sent to no target, milliseconds; 0 where it is not blocked. */
+  /** Remaining time of the block, milliseconds; 0 if the content is not blocked. */
   readonly getBlockedMs: (content: string, nowMs: number) => number;
-  /** In the order in which they were learned, the last ones last. */
+  /** In the order in which they were recorded, the latest last. */
   readonly listBlocks: (nowMs: number) => readonly ContentBlock[];
   readonly countSuspects: () => number;
 }
 
-/** Crashes of different targets that show that the request is to blame; two may be chance. */
-const CRASHES = 3;
+/** Crashes of different targets after which a content is blocked; two may be coincidence. */
+const BLOCK_THRESHOLD_CRASHES = 3;
 /** Time for which a content is blocked after its last crash, milliseconds. */
-const BLOCK_MS = 600_000;
+const BLOCK_DURATION_MS = 600_000;
 /**
- * Time for which crashes count, milliseconds: a content that crashes one more target after its block has
- * ended is blocked again at once.
+ * Time for which crashes count, milliseconds. It is longer than the block, so a content that
+ * crashes another target after its block has ended is blocked again at once.
  */
-const MEMORY_MS = 1_800_000;
-const MAX_SUSPECTS = 1_000;
-/** Contents that were answered lately; enough for the crashes of some minutes to be compared with. */
-const MAX_ANSWERED = 4_000;
+const CRASH_RETENTION_MS = 1_800_000;
+const MAX_SUSPECT_CONTENTS = 1_000;
+/** Recently answered contents that are kept, to check the crashes of some minutes against. */
+const MAX_ANSWERED_CONTENTS = 4_000;
 
-interface Suspect {
+interface SuspectContent {
   /** Time of each crash by target. */
   readonly crashesMs: Map<string, number>;
-  /** Of the crashes that are known to other routers. */
-  blockedFirstMs: number;
-  blockedLastMs: number;
+  /** First and last crash of a block that other routers reported; infinite without a report. */
+  peerFirstCrashMs: number;
+  peerLastCrashMs: number;
 }
 
-function removeBlock(suspect: Suspect): void {
-  suspect.blockedFirstMs = Number.POSITIVE_INFINITY;
-  suspect.blockedLastMs = Number.NEGATIVE_INFINITY;
+function removePeerBlock(suspect: SuspectContent): void {
+  suspect.peerFirstCrashMs = Number.POSITIVE_INFINITY;
+  suspect.peerLastCrashMs = Number.NEGATIVE_INFINITY;
 }
 
 export function createCrashTracker(): CrashTracker {
-  const suspects = new Map<string, Suspect>();
-  const answeredMs = new Map<string, number>();
+  const suspects = new Map<string, SuspectContent>();
+  const answeredAtMsByContent = new Map<string, number>();
 
-  function setNewest<Value>(map: Map<string, Value>, key: string, value: Value, most: number) {
+  function setMostRecent<Value>(
+    map: Map<string, Value>,
+    key: string,
+    value: Value,
+    maxSize: number,
+  ) {
     map.delete(key);
     map.set(key, value);
     const oldest = map.keys().next();
-    if (map.size > most && oldest.done !== true) map.delete(oldest.value);
+    if (map.size > maxSize && oldest.done !== true) map.delete(oldest.value);
   }
 
-  function removeOld(content: string, suspect: Suspect, nowMs: number): void {
+  function removeExpired(content: string, suspect: SuspectContent, nowMs: number): void {
     for (const [target, atMs] of suspect.crashesMs) {
-      if (nowMs - atMs >= MEMORY_MS) suspect.crashesMs.delete(target);
+      if (nowMs - atMs >= CRASH_RETENTION_MS) suspect.crashesMs.delete(target);
     }
-    if (nowMs - suspect.blockedLastMs >= MEMORY_MS) removeBlock(suspect);
-    if (suspect.crashesMs.size === 0 && !Number.isFinite(suspect.blockedLastMs)) {
+    if (nowMs - suspect.peerLastCrashMs >= CRASH_RETENTION_MS) removePeerBlock(suspect);
+    if (suspect.crashesMs.size === 0 && !Number.isFinite(suspect.peerLastCrashMs)) {
       suspects.delete(content);
     }
   }
 
-  function openSuspect(content: string): Suspect {
-    const known = suspects.get(content);
-    const suspect = known ?? {
+  function getSuspect(content: string): SuspectContent {
+    const existing = suspects.get(content);
+    const suspect = existing ?? {
       crashesMs: new Map<string, number>(),
-      blockedFirstMs: Number.POSITIVE_INFINITY,
-      blockedLastMs: Number.NEGATIVE_INFINITY,
+      peerFirstCrashMs: Number.POSITIVE_INFINITY,
+      peerLastCrashMs: Number.NEGATIVE_INFINITY,
     };
-    setNewest(suspects, content, suspect, MAX_SUSPECTS);
+    setMostRecent(suspects, content, suspect, MAX_SUSPECT_CONTENTS);
     return suspect;
   }
 
   function findBlock(content: string, nowMs: number): ContentBlock | undefined {
     const suspect = suspects.get(content);
     if (suspect === undefined) return undefined;
-    removeOld(content, suspect, nowMs);
+    removeExpired(content, suspect, nowMs);
     const crashesMs = [...suspect.crashesMs.values()];
-    const isTold = Number.isFinite(suspect.blockedLastMs);
-    if (crashesMs.length < CRASHES && !isTold) return undefined;
-    const firstMs = Math.min(suspect.blockedFirstMs, ...crashesMs);
-    const lastMs = Math.max(suspect.blockedLastMs, ...crashesMs);
-    if (nowMs - lastMs >= BLOCK_MS) return undefined;
+    const isBlockedByPeer = Number.isFinite(suspect.peerLastCrashMs);
+    if (crashesMs.length < BLOCK_THRESHOLD_CRASHES && !isBlockedByPeer) return undefined;
+    const firstMs = Math.min(suspect.peerFirstCrashMs, ...crashesMs);
+    const lastMs = Math.max(suspect.peerLastCrashMs, ...crashesMs);
+    if (nowMs - lastMs >= BLOCK_DURATION_MS) return undefined;
     return { content, firstAgeMs: nowMs - firstMs, lastAgeMs: nowMs - lastMs };
   }
 
-  function getAnsweredMs(content: string): number {
-    return answeredMs.get(content) ?? Number.NEGATIVE_INFINITY;
+  function getAnsweredAtMs(content: string): number {
+    return answeredAtMsByContent.get(content) ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether something was counted or told that began before the answer; it is forgotten. */
-  function removeRefuted(content: string, atMs: number): boolean {
+  /**
+   * Removes crashes and reported blocks that began before the answer; returns whether there were
+   * any.
+   */
+  function removeRefutedCrashes(content: string, atMs: number): boolean {
     const suspect = suspects.get(content);
     if (suspect === undefined) return false;
     const refuted = [...suspect.crashesMs].filter(([, crashedMs]) => crashedMs <= atMs);
     refuted.forEach(([target]) => suspect.crashesMs.delete(target));
-    const isBlockRefuted = suspect.blockedFirstMs <= atMs;
-    if (isBlockRefuted) removeBlock(suspect);
-    if (suspect.crashesMs.size === 0 && suspect.blockedFirstMs === Number.POSITIVE_INFINITY) {
+    const isBlockRefuted = suspect.peerFirstCrashMs <= atMs;
+    if (isBlockRefuted) removePeerBlock(suspect);
+    if (suspect.crashesMs.size === 0 && suspect.peerFirstCrashMs === Number.POSITIVE_INFINITY) {
       suspects.delete(content);
     }
     return refuted.length > 0 || isBlockRefuted;
@@ -123,30 +135,35 @@
 
   return {
     recordCrash({ content, target, ageMs }, nowMs) {
-      if (nowMs - ageMs <= getAnsweredMs(content)) return findBlock(content, nowMs);
-      const { crashesMs } = openSuspect(content);
-      // More than it takes to know say nothing more, and the latest decides how long it is blocked.
-      setNewest(crashesMs, target, nowMs - ageMs, CRASHES);
+      if (nowMs - ageMs <= getAnsweredAtMs(content)) return findBlock(content, nowMs);
+      const { crashesMs } = getSuspect(content);
+      // Crashes above the threshold add no information; the latest decides when the block ends.
+      setMostRecent(crashesMs, target, nowMs - ageMs, BLOCK_THRESHOLD_CRASHES);
       return findBlock(content, nowMs);
     },
     recordBlock({ content, firstAgeMs, lastAgeMs }, nowMs) {
-      if (nowMs - firstAgeMs <= getAnsweredMs(content)) return 'refuted';
+      if (nowMs - firstAgeMs <= getAnsweredAtMs(content)) return 'refuted';
       const wasBlocked = findBlock(content, nowMs) !== undefined;
-      const suspect = openSuspect(content);
-      suspect.blockedFirstMs = Math.min(suspect.blockedFirstMs, nowMs - firstAgeMs);
-      suspect.blockedLastMs = Math.max(suspect.blockedLastMs, nowMs - lastAgeMs);
+      const suspect = getSuspect(content);
+      suspect.peerFirstCrashMs = Math.min(suspect.peerFirstCrashMs, nowMs - firstAgeMs);
+      suspect.peerLastCrashMs = Math.max(suspect.peerLastCrashMs, nowMs - lastAgeMs);
       return !wasBlocked && findBlock(content, nowMs) !== undefined ? 'news' : 'known';
     },
     recordAnswer(content, atMs, nowMs) {
-      setNewest(answeredMs, content, Math.max(atMs, getAnsweredMs(content)), MAX_ANSWERED);
+      setMostRecent(
+        answeredAtMsByContent,
+        content,
+        Math.max(atMs, getAnsweredAtMs(content)),
+        MAX_ANSWERED_CONTENTS,
+      );
       const wasBlocked = findBlock(content, nowMs) !== undefined;
-      if (!removeRefuted(content, atMs)) return 'nothing';
+      if (!removeRefutedCrashes(content, atMs)) return 'nothing';
       return wasBlocked ? 'block' : 'crashes';
     },
     findBlock,
     getBlockedMs(content, nowMs) {
       const block = findBlock(content, nowMs);
-      return block === undefined ? 0 : BLOCK_MS - block.lastAgeMs;
+      return block === undefined ? 0 : BLOCK_DURATION_MS - block.lastAgeMs;
     },
     listBlocks: (nowMs) =>
       [...suspects.keys()].flatMap((content) => findBlock(content, nowMs) ?? []),
