--- a/packages/sequoiarill-decisions/src/__tests__/fleetShares.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/fleetShares.test.ts
@@ -12,7 +12,7 @@
 
 interface Fleet {
   readonly routers: readonly FleetShares.FleetShares[];
-  readonly getSum: (nowMs: number) => number;
+  readonly getShareSum: (nowMs: number) => number;
 }
 
 function createFleet(): Fleet {
@@ -24,13 +24,13 @@
       getLimit: () => LIMIT,
     }),
   );
-  const getSum = (nowMs: number) =>
+  const getShareSum = (nowMs: number) =>
     routers.reduce((sum, router) => sum + router.getShare('shop', nowMs), 0);
-  return { routers, getSum };
+  return { routers, getShareSum };
 }
 
-/** One round of reports; `isCut` says which pairs cannot hear each other. */
-function playRound(
+/** Simulates one round of reports; `isCut` tells which pairs of routers cannot reach each other. */
+function simulateRound(
   fleet: Fleet,
   nowMs: number,
   demands: readonly number[],
@@ -54,29 +54,30 @@
 }
 
 describe('fleetShares', () => {
-  it('moves a limit to where the demand is within five rounds and never gives out more', () => {
-    // A shop's callers reach router 0 only; then the balancer moves all of them to router 5. The
-    // limit has to follow within seconds, and in between the two must not have it twice.
+  it('moves a limit to the router with the demand within five rounds and never exceeds it', () => {
+    // The callers of an organisation reach router 0 only; then the load balancer moves them all to
+    // router 5. The limit must follow within seconds, and both routers together must never use it
+    // twice.
     const fleet = createFleet();
     let nowMs = 0;
-    const playTo = (demands: readonly number[], rounds: number) => {
+    const simulateRounds = (demands: readonly number[], rounds: number) => {
       for (let round = 0; round < rounds; round += 1) {
-        playRound(fleet, nowMs, demands);
+        simulateRound(fleet, nowMs, demands);
         nowMs += ROUND_MS;
-        if (round > 0) expect(fleet.getSum(nowMs) <= 1.001).toEqual(true);
+        if (round > 0) expect(fleet.getShareSum(nowMs) <= 1.001).toEqual(true);
       }
     };
-    playTo(buildDemands(new Map([[0, 20_000]])), 5);
+    simulateRounds(buildDemands(new Map([[0, 20_000]])), 5);
     expect((fleet.routers[0]?.getShare('shop', nowMs) ?? 0) > 0.85).toEqual(true);
-    playTo(buildDemands(new Map([[5, 20_000]])), 5);
+    simulateRounds(buildDemands(new Map([[5, 20_000]])), 5);
     expect((fleet.routers[5]?.getShare('shop', nowMs) ?? 0) > 0.85).toEqual(true);
     expect((fleet.routers[0]?.getShare('shop', nowMs) ?? 1) < 0.1).toEqual(true);
   });
 
-  it('never gives out more than the limit while demand moves at random', () => {
+  it('never exceeds the limit while demand moves at random', () => {
     const fleet = createFleet();
     const generator = xoroshiro128plus(7);
-    let worst = 0;
+    let highestSum = 0;
     for (let round = 0; round < 200; round += 1) {
       const demands = buildDemands(
         new Map(
@@ -86,20 +87,20 @@
           ]),
         ),
       );
-      playRound(fleet, round * ROUND_MS, demands);
+      simulateRound(fleet, round * ROUND_MS, demands);
       const readMs = (round + 1) * ROUND_MS + Math.floor(uniformFloat64(generator) * 100);
-      if (round > 2) worst = Math.max(worst, fleet.getSum(readMs));
+      if (round > 2) highestSum = Math.max(highestSum, fleet.getShareSum(readMs));
     }
-    expect(worst <= 1.001).toEqual(true);
-    expect(worst > 0.5).toEqual(true);
+    expect(highestSum <= 1.001).toEqual(true);
+    expect(highestSum > 0.5).toEqual(true);
   });
 
-  it('keeps both sides of a partition inside the limit while demand rises on both', () => {
-    // Routers 0 to 3 and 4 to 8 lose each other, and callers on both sides ask for five times as much.
-    // Neither side hears of the other's rise; if each took its own for most of the whole, the
-    // organisation would get its limit nearly twice.
+  it('keeps both sides of a partition within the limit while demand rises on both', () => {
+    // Routers 0 to 3 and 4 to 8 are partitioned, and demand rises fivefold on both sides. Neither
+    // side receives the other's reports; if each took its own demand for most of the total, the
+    // organisation would get nearly twice its limit.
     const fleet = createFleet();
-    const buildBusy = (demand: number) =>
+    const buildTwoBusy = (demand: number) =>
       buildDemands(
         new Map([
           [1, demand],
@@ -107,12 +108,12 @@
         ]),
       );
     for (let round = 0; round < 8; round += 1) {
-      playRound(fleet, round * ROUND_MS, buildBusy(10_000));
+      simulateRound(fleet, round * ROUND_MS, buildTwoBusy(10_000));
     }
     const isCut = (from: number, to: number) => from < 4 !== to < 4;
     const left = new Set(['r0', 'r1', 'r2', 'r3']);
     const right = new Set(['r4', 'r5', 'r6', 'r7', 'r8']);
-    let worst = 0;
+    let highestSum = 0;
     for (let round = 8; round < 60; round += 1) {
       const nowMs = round * ROUND_MS;
       const isHealed = round >= 40;
@@ -120,14 +121,14 @@
         const others = index < 4 ? right : left;
         router.setUnreachable(isHealed ? new Set() : others, nowMs + 1_000);
       });
-      playRound(fleet, nowMs, buildBusy(50_000), isHealed ? undefined : isCut);
-      worst = Math.max(worst, fleet.getSum(nowMs + ROUND_MS));
+      simulateRound(fleet, nowMs, buildTwoBusy(50_000), isHealed ? undefined : isCut);
+      highestSum = Math.max(highestSum, fleet.getShareSum(nowMs + ROUND_MS));
     }
-    expect(worst <= 1.01).toEqual(true);
-    expect(worst > 0.9).toEqual(true);
+    expect(highestSum <= 1.01).toEqual(true);
+    expect(highestSum > 0.9).toEqual(true);
   });
 
-  it('gives the share of a router that ended to the others', () => {
+  it('gives the share of a terminated router to the others', () => {
     const fleet = createFleet();
     const demands = buildDemands(
       new Map([
@@ -135,23 +136,24 @@
         [6, 10_000],
       ]),
     );
-    for (let round = 0; round < 4; round += 1) playRound(fleet, round * ROUND_MS, demands);
+    for (let round = 0; round < 4; round += 1) simulateRound(fleet, round * ROUND_MS, demands);
     fleet.routers.forEach((router) => router.removeRouter('r6'));
     expect((fleet.routers[1]?.getShare('shop', 4 * ROUND_MS) ?? 0) > 0.9).toEqual(true);
   });
 
-  it('lets the sparse callers of a quiet organisation in at any router', () => {
+  it('admits the occasional callers of an organisation with low demand at any router', () => {
     const fleet = createFleet();
     for (let round = 0; round < 5; round += 1) {
-      playRound(fleet, round * ROUND_MS, buildDemands(new Map([[2, 500]])));
+      simulateRound(fleet, round * ROUND_MS, buildDemands(new Map([[2, 500]])));
     }
     expect(fleet.routers[7]?.getShare('shop', 5 * ROUND_MS)).toEqual(0.5);
   });
 
-  it('tells that a demand ended before smaller changes, however many there are', () => {
-    // A large shop's callers leave this router while hundreds of small ones come and go. If the report
-    // had room for the most demanding only, the end would never be told, and the others would go on
-    // leaving a part of the shop's limit to a router that has no use for it.
+  it('reports the end of a demand before smaller changes, however many there are', () => {
+    // The callers of a large organisation leave this router while hundreds of small ones come and
+    // go. If the report contained the highest demands only, the end would never be reported, and
+    // the other routers would continue to leave a share of the limit to a router that does not use
+    // it.
     const shares = FleetShares.createFleetShares({
       routerName: 'r0',
       incarnation: 1,
@@ -169,7 +171,7 @@
     expect(entries.length).toEqual(8);
   });
 
-  it('ignores a late report and the reports of an earlier start', () => {
+  it('ignores a late report and the reports of an earlier incarnation', () => {
     const fleet = createFleet();
     const [router] = fleet.routers;
     if (router === undefined) throw new Error('no router');
@@ -180,7 +182,7 @@
       entries: [{ organisation: 'shop', demand }],
     });
     for (let round = 0; round < 4; round += 1) {
-      playRound(fleet, round * ROUND_MS, buildDemands(new Map([[0, 10_000]])));
+      simulateRound(fleet, round * ROUND_MS, buildDemands(new Map([[0, 10_000]])));
     }
     router.applyReport(buildPeerReport(2, 1, 10_000));
     const share = router.getShare('shop', 8_000);
--- a/packages/sequoiarill-decisions/src/demandClaims.ts
+++ b/packages/sequoiarill-decisions/src/demandClaims.ts
@@ -1,13 +1,13 @@
-/** One router's demand of one organisation: measured, reported, and claimed from the limit. */
+/** Measures, reports and claims the demand that one organisation has at one router. */
 
-/** Demand is smoothed over this time, milliseconds: some requests a router even at 1 a second. */
-const SMOOTHING_MS = 2_000;
-/** Reported again only when it moved by this part, or to nothing. */
-const REPORTED_CHANGE = 0.2;
-/** Reported again after this time in any case: makes a lost report good. Milliseconds. */
+/** Time constant of the smoothed demand; covers some requests even at one a second. */
+const SMOOTHING_TIME_CONSTANT_MS = 2_000;
+/** Relative change from which a demand is reported again; a drop to 0 is always reported. */
+const MIN_REPORTED_CHANGE_RATIO = 0.2;
+/** Time after which a demand is reported again in any case, to make up for a lost report. */
 const REFRESH_MS = 10_000;
-/** Nothing is repeated as well, until every router has surely heard it. */
-const FORGOTTEN_AFTER_MS = 30_000;
+/** A demand of 0 is reported again for this time, after which every router has received it. */
+const EXPIRY_MS = 30_000;
 
 interface Claim {
   readonly demand: number;
@@ -16,54 +16,57 @@
 
 export interface DemandClaims {
   readonly recordDemand: (tokens: number, nowMs: number) => void;
-  /** Tokens a second, smoothed. */
+  /** Smoothed demand in tokens a second. */
   readonly getDemand: (nowMs: number) => number;
   readonly isWorthReporting: (demand: number, nowMs: number) => boolean;
   readonly recordReport: (demand: number, nowMs: number) => void;
-  readonly getReported: () => number;
-  /** The lowest of what was reported lately: a rise counts once it is old enough, a fall at once. */
+  readonly getReportedDemand: () => number;
+  /**
+   * The lowest demand reported within the propagation time, including the last report before it: an
+   * increase counts once every router has received it, a decrease at once.
+   */
   readonly getClaim: (nowMs: number) => number;
-  readonly isForgotten: (nowMs: number) => boolean;
+  readonly isExpired: (nowMs: number) => boolean;
 }
 
 export function createDemandClaims(propagationMs: number): DemandClaims {
-  let smoothed = 0;
+  let smoothedDemand = 0;
   let updatedAtMs = 0;
-  let reported = 0;
+  let reportedDemand = 0;
   let reportedAtMs = Number.NEGATIVE_INFINITY;
-  let usedAtMs = 0;
+  let lastDemandAtMs = 0;
   let claims: readonly Claim[] = [];
 
   function getDemand(nowMs: number): number {
-    smoothed *= Math.exp(-Math.max(0, nowMs - updatedAtMs) / SMOOTHING_MS);
+    smoothedDemand *= Math.exp(-Math.max(0, nowMs - updatedAtMs) / SMOOTHING_TIME_CONSTANT_MS);
     updatedAtMs = Math.max(nowMs, updatedAtMs);
-    return smoothed;
+    return smoothedDemand;
   }
 
   function recordDemand(tokens: number, nowMs: number): void {
-    smoothed = getDemand(nowMs) + (tokens * 1000) / SMOOTHING_MS;
-    usedAtMs = nowMs;
+    smoothedDemand = getDemand(nowMs) + (tokens * 1000) / SMOOTHING_TIME_CONSTANT_MS;
+    lastDemandAtMs = nowMs;
   }
 
   function isWorthReporting(demand: number, nowMs: number): boolean {
-    if (demand === 0 && reported === 0) {
+    if (demand === 0 && reportedDemand === 0) {
       return reportedAtMs > 0 && nowMs - reportedAtMs > REFRESH_MS;
     }
-    if (nowMs - reportedAtMs > REFRESH_MS || demand === 0 || reported === 0) return true;
-    return Math.abs(demand - reported) > reported * REPORTED_CHANGE;
+    if (nowMs - reportedAtMs > REFRESH_MS || demand === 0 || reportedDemand === 0) return true;
+    return Math.abs(demand - reportedDemand) > reportedDemand * MIN_REPORTED_CHANGE_RATIO;
   }
 
   function recordReport(demand: number, nowMs: number): void {
-    reported = demand;
+    reportedDemand = demand;
     reportedAtMs = nowMs;
     claims = [...claims, { demand, atMs: nowMs }];
   }
 
   function getClaim(nowMs: number): number {
-    const settledAtMs = nowMs - propagationMs;
-    const settled = claims.findLastIndex((claim) => claim.atMs <= settledAtMs);
-    if (settled < 0) return 0;
-    claims = claims.slice(settled);
+    const propagatedBeforeMs = nowMs - propagationMs;
+    const latestPropagated = claims.findLastIndex((claim) => claim.atMs <= propagatedBeforeMs);
+    if (latestPropagated < 0) return 0;
+    claims = claims.slice(latestPropagated);
     return Math.min(...claims.map((claim) => claim.demand));
   }
 
@@ -72,8 +75,8 @@
     getDemand,
     isWorthReporting,
     recordReport,
-    getReported: () => reported,
+    getReportedDemand: () => reportedDemand,
     getClaim,
-    isForgotten: (nowMs) => reported === 0 && nowMs - usedAtMs > FORGOTTEN_AFTER_MS,
+    isExpired: (nowMs) => reportedDemand === 0 && nowMs - lastDemandAtMs > EXPIRY_MS,
   };
 }
--- a/packages/sequoiarill-decisions/src/demandTable.ts
+++ b/packages/sequoiarill-decisions/src/demandMatrix.ts
@@ -1,24 +1,30 @@
 /**
- * What other routers reported, as numbers in rows: maps of objects for thousands of organisations at tens
- * of routers would take more memory than a process has for control.
+ * Demand reported by other routers: one row of numbers for each router, one column for each
+ * organisation.
+ *
+ * Maps of objects for thousands of organisations at tens of routers would exceed the memory that a
+ * process has for control data.
  */
 
-export interface DemandTable {
+export interface DemandMatrix {
   readonly setDemand: (router: string, organisation: string, demand: number) => void;
   readonly getDemand: (router: string, organisation: string) => number;
-  /** Of all routers. */
+  /** Sum over all routers. */
   readonly getTotal: (organisation: string) => number;
   readonly removeRouter: (router: string) => void;
   readonly listOrganisations: () => readonly string[];
 }
 
-const FIRST_SIZE = 64;
+const INITIAL_COLUMNS = 64;
 
-export function createDemandTable(): DemandTable {
-  /** Columns are never given back: organisations are configured, so they are few and last. */
+export function createDemandMatrix(): DemandMatrix {
+  /**
+   * Columns are never removed: organisations come from the configuration, so they are few and
+   * stable.
+   */
   const columns = new Map<string, number>();
   const rows = new Map<string, Float32Array>();
-  let totals = new Float64Array(FIRST_SIZE);
+  let totals = new Float64Array(INITIAL_COLUMNS);
 
   function addColumn(organisation: string): number {
     const column = columns.size;
@@ -46,10 +52,11 @@
   function setDemand(router: string, organisation: string, demand: number): void {
     const column = columns.get(organisation) ?? addColumn(organisation);
     const row = getRow(router);
-    // The total takes what the row keeps, or roundings of 32-bit numbers would add up over days.
-    const before = row[column] ?? 0;
+    // Adds the rounded value from the row; otherwise 32-bit rounding errors would accumulate over
+    // days.
+    const previous = row[column] ?? 0;
     row[column] = demand;
-    totals[column] = (totals[column] ?? 0) + (row[column] ?? 0) - before;
+    totals[column] = (totals[column] ?? 0) + (row[column] ?? 0) - previous;
   }
 
   function getDemand(router: string, organisation: string): number {
