--- a/bench/src/decisions/cases.ts
+++ b/bench/src/decisions/cases.ts
@@ -64,7 +64,7 @@
         initial: RUNNING,
         min: RUNNING,
         max: RUNNING,
-        targetMs: Decisions.DEFAULT_WAIT_TARGET_MS,
+        waitTargetMs: Decisions.DEFAULT_WAIT_TARGET_MS,
       }),
   });
   const running: Decisions.Permit[] = [];
--- a/packages/sequoiarill-decisions/src/__tests__/admission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/admission.test.ts
@@ -23,7 +23,7 @@
         initial: limit,
         min: 1,
         max: limit,
-        targetMs: 500,
+        waitTargetMs: 500,
       }),
     ...(maxQueueLength === undefined ? {} : { maxQueueLength }),
   });
--- a/packages/sequoiarill-decisions/src/__tests__/admissionProperties.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/admissionProperties.test.ts
@@ -33,7 +33,7 @@
         initial: LIMIT,
         min: LIMIT,
         max: LIMIT,
-        targetMs: 30,
+        waitTargetMs: 30,
       }),
   });
   const running: Permit[] = [];
--- a/packages/sequoiarill-decisions/src/__tests__/concurrencyLimit.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/concurrencyLimit.test.ts
@@ -9,7 +9,7 @@
     initial: 100,
     min: 10,
     max: 200,
-    targetMs: 100,
+    waitTargetMs: 100,
   });
 }
 
--- a/packages/sequoiarill-decisions/src/concurrencyLimit.ts
+++ b/packages/sequoiarill-decisions/src/concurrencyLimit.ts
@@ -14,7 +14,7 @@
   readonly min: number;
   readonly max: number;
   /** Target for the 80th percentile of the wait for an engine slot, in milliseconds. */
-  readonly targetMs: number;
+  readonly waitTargetMs: number;
 }
 
 export interface ConcurrencyLimit {
@@ -81,12 +81,12 @@
     const quantileMs = computeQuantile(samples, EVALUATED_QUANTILE);
     const peakInFlight = samples.reduce((most, sample) => Math.max(most, sample.inFlight), 0);
     const elapsedSeconds = elapsedMs / 1000;
-    if (quantileMs <= options.targetMs) applyIncrease(quantileMs, peakInFlight, elapsedSeconds);
+    if (quantileMs <= options.waitTargetMs) applyIncrease(quantileMs, peakInFlight, elapsedSeconds);
     else if (isBusy) applyDecrease(quantileMs, peakInFlight, elapsedSeconds);
   }
 
   function applyDecrease(quantileMs: number, peakInFlight: number, elapsedSeconds: number): void {
-    const lateness = quantileMs / (options.targetMs * SEVERE_WAIT_FACTOR);
+    const lateness = quantileMs / (options.waitTargetMs * SEVERE_WAIT_FACTOR);
     const severity = Math.min(MAX_SEVERITY, Math.max(1, lateness));
     const used = Math.min(limit, peakInFlight + 1);
     limit = Math.max(options.min, used * (1 - DECREASE_PER_SECOND * severity * elapsedSeconds));
@@ -94,7 +94,7 @@
 
   function applyIncrease(quantileMs: number, peakInFlight: number, elapsedSeconds: number): void {
     if (peakInFlight < limit * MIN_USED_SHARE) return;
-    const headroom = 1 - quantileMs / options.targetMs;
+    const headroom = 1 - quantileMs / options.waitTargetMs;
     const step = Math.max(MIN_INCREASE_PER_SECOND, limit * INCREASE_PER_SECOND) * elapsedSeconds;
     limit = Math.min(options.max, limit + step * headroom);
   }
--- a/packages/sequoiarill-decisions/src/simulation/policies.ts
+++ b/packages/sequoiarill-decisions/src/simulation/policies.ts
@@ -33,7 +33,7 @@
         initial: (ENGINES * SLOTS) / ROUTERS,
         min: 4,
         max: ENGINES * SLOTS,
-        targetMs: ConcurrencyLimit.DEFAULT_WAIT_TARGET_MS,
+        waitTargetMs: ConcurrencyLimit.DEFAULT_WAIT_TARGET_MS,
       }),
   });
 }
--- a/packages/sequoiarill-plugin-generations/src/admissionGate.ts
+++ b/packages/sequoiarill-plugin-generations/src/admissionGate.ts
@@ -64,7 +64,7 @@
         ),
         min: MIN_RUNNING,
         max: MAX_RUNNING,
-        targetMs: FIRST_TOKEN_TARGET_MS,
+        waitTargetMs: FIRST_TOKEN_TARGET_MS,
       }),
   });
 
