--- a/packages/sequoiarill-plugin-forwarding/src/front/exchange.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/exchange.ts
@@ -89,7 +89,7 @@
 /** A duration that the answer is unlikely to exceed. */
 function computeLongestMs({ durations }: ExchangeDependencies, request: ForwardRequest): number {
   const { route, arrivedAtMs, expiresAtMs } = request;
-  return durations.getLongest(route.name, expiresAtMs - arrivedAtMs);
+  return durations.getUpperBoundMs(route.name, expiresAtMs - arrivedAtMs);
 }
 
 function createCloseSignal(response: ServerResponse): AbortSignal {
@@ -170,7 +170,7 @@
   const { name, objectiveMs } = route;
   const isClientRetry =
     remainingMs > 0 &&
-    dependencies.clientRetries.isClientRetry({ kind: name, givenMs: remainingMs, objectiveMs });
+    dependencies.clientRetries.isClientRetry({ kind: name, remainingMs, objectiveMs });
   const timeoutMs = remainingMs > 0 ? Math.min(remainingMs, route.timeoutMs) : route.timeoutMs;
   const lastEventId = Headers.findSingleValue(headers, headerNames.lastEventId);
   const promptTokens = Number.parseInt(
--- a/packages/sequoiarill-plugin-forwarding/src/streams/copyMonitor.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/copyMonitor.ts
@@ -77,9 +77,9 @@
     return Decisions.decideCopyAction({
       runZone: engine.zone,
       routerZone: dependencies.zone,
-      keeperZone: monitored.holder.zone,
-      isKeeperSafe: isHolderAvailable(monitored),
-      isHomeOpen: EnginePlacements.isLocalEngineAvailable(dependencies, request),
+      holderZone: monitored.holder.zone,
+      isHolderAvailable: isHolderAvailable(monitored),
+      isLocalZoneAvailable: EnginePlacements.isLocalEngineAvailable(dependencies, request),
       ageMs:
         monitored.requestedAtMs === undefined
           ? undefined
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -200,7 +200,7 @@
   const pool = unsuspected.length > 0 ? unsuspected : unqueried;
   const zones = new Set(pool.map(({ zone }) => zone)).size;
   return Decisions.selectCandidates(pool, getPromptKey(request), (zone) =>
-    Decisions.computeZoneSample(zone === dependencies.zone, zones),
+    Decisions.computeZoneSampleSize(zone === dependencies.zone, zones),
   );
 }
 
