--- a/packages/sequoiarill-decisions/src/expectedWait.ts
+++ b/packages/sequoiarill-decisions/src/expectedWait.ts
@@ -6,7 +6,7 @@
  * report is combined with the work that was sent after it, loses weight with its age, and never
  * counts less than this router's own work at the target.
  */
-import type { ChoiceRequest, TargetView } from './targets';
+import type { TargetChoiceRequest, TargetView } from './targets';
 
 /** A report has its full weight up to this age: the usual lag, within which little else changes. */
 const REPORT_FRESH_MS = 2_500;
@@ -45,7 +45,7 @@
 /** Current work at the target from all routers, in generations. */
 export function computeOccupancy(
   view: TargetView,
-  purpose: ChoiceRequest['purpose'] = 'first',
+  purpose: TargetChoiceRequest['purpose'] = 'first',
 ): number {
   if (view.reportedRunning === undefined) return view.inFlight;
   const ageMs = view.reportAgeMs ?? 0;
@@ -68,7 +68,7 @@
   reported: number,
   ownChange: number,
   view: TargetView,
-  purpose: ChoiceRequest['purpose'],
+  purpose: TargetChoiceRequest['purpose'],
 ): number {
   if (purpose === 'first' || ownChange <= 0) return 1;
   const ownInFlightBefore = Math.max(1, view.inFlight - ownChange);
@@ -89,7 +89,7 @@
 }
 
 export interface ExpectedWaitQuery {
-  readonly purpose: ChoiceRequest['purpose'];
+  readonly purpose: TargetChoiceRequest['purpose'];
   readonly zone: string;
   readonly promptTokens: number;
   readonly cachedShare: number;
--- a/packages/sequoiarill-decisions/src/fleetShares.ts
+++ b/packages/sequoiarill-decisions/src/fleetShares.ts
@@ -96,7 +96,7 @@
   const claimsByOrganisation = new Map<string, Claims.DemandClaims>();
   const peerDemands = DemandMatrices.createDemandMatrix();
   const lastPositions = new Map<string, ReportPosition>();
-  const partitionParts = PartitionParts.createPartitionParts();
+  const partitionParts = PartitionParts.createPartitionShares();
   let sequence = 0;
 
   function recordDemand(organisation: string, tokens: number, nowMs: number): void {
@@ -184,7 +184,7 @@
   function getShare(organisation: string, nowMs: number): number {
     const count = Math.max(1, options.getRouterCount());
     if (count === 1) return 1;
-    const part = partitionParts.getPart(organisation, nowMs);
+    const part = partitionParts.getShare(organisation, nowMs);
     const unreachable = partitionParts.getUnreachable(nowMs);
     const { reachable } = splitDemand(organisation, unreachable);
     const floor = EVEN_SPLIT_SHARE / count;
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -78,7 +78,7 @@
   const shares = Decisions.createRateLimitShares({
     getSelf: () => peers.self,
     listRouters: peers.listRouters,
-    getMemoryMs: () => Math.max(MIN_RETENTION_MS, getQueryIntervalMs() * RETENTION_INTERVALS),
+    getRetentionMs: () => Math.max(MIN_RETENTION_MS, getQueryIntervalMs() * RETENTION_INTERVALS),
     ...(options.countSenders === undefined ? {} : { countSenders: options.countSenders }),
   });
   /** Time of the next permitted query about a target. */
@@ -126,7 +126,7 @@
    * router forwards the update to a few that rank below it, so that no router has to notify all others.
    */
   function sendUpdate(target: RateLimitedTarget, isDirect: boolean): void {
-    const ranked = shares.listRanked(target.life, clock.getNowMs());
+    const ranked = shares.listRankedRouters(target.life, clock.getNowMs());
     const rank = ranked.indexOf(peers.self);
     const firstFollower = rank * UPDATE_FANOUT + 1;
     const followers = rank < 0 ? [] : ranked.slice(firstFollower, firstFollower + UPDATE_FANOUT);
@@ -171,7 +171,7 @@
     const { life: incarnation } = limited;
     if (!isQueryDue(`${incarnation} wanted`)) return false;
     for (const peer of listOtherSenders(incarnation).slice(0, MAX_SENDERS_ASKED)) {
-      if (await acquireFrom(limited, peer, 1)) return shares.isOpen(incarnation, clock.getNowMs());
+      if (await acquireFrom(limited, peer, 1)) return shares.isSendAllowed(incarnation, clock.getNowMs());
     }
     nextQueryAtMs.set(`${incarnation} wanted`, clock.getNowMs() + REFUSAL_DELAY_MS);
     return false;
@@ -186,7 +186,7 @@
     isAvailable(target) {
       if (shares.countTargets() === 0) return true;
       const limited = buildRateLimitedTarget(target);
-      const isAvailable = shares.isOpen(limited.life, clock.getNowMs());
+      const isAvailable = shares.isSendAllowed(limited.life, clock.getNowMs());
       if (!isAvailable) updateLimit(limited);
       return isAvailable;
     },
@@ -207,16 +207,16 @@
     grantPermits({ life, zone, wanted, known }) {
       recordLimit({ life, zone }, known);
       const nowMs = clock.getNowMs();
-      const permits = shares.lendPermits(life, wanted, nowMs);
+      const permits = shares.grantPermits(life, wanted, nowMs);
       const observed = shares.findLimit(life, nowMs);
       return observed === undefined ? { permits } : { permits, known: observed };
     },
     removeOld() {
       const nowMs = clock.getNowMs();
-      shares.removeOld(nowMs);
+      shares.removeExpired(nowMs);
       for (const [key, atMs] of nextQueryAtMs) if (atMs <= nowMs) nextQueryAtMs.delete(key);
       updates.removeOld((incarnation) => shares.findLimit(incarnation, nowMs) !== undefined);
     },
-    dumpState: () => shares.list().map(({ life }) => life),
+    dumpState: () => shares.listTargets().map(({ life }) => life),
   };
 }
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -154,7 +154,7 @@
     recordResult('answered');
     policy.recordFirstToken(target.id, ms, options.prefillTokens);
     if (options.promptsAhead !== 0) return;
-    dependencies.getPromptEstimates(request.service).recordPrompt(options.prefillTokens, ms);
+    dependencies.getPromptEstimates(request.service).recordPrefill(options.prefillTokens, ms);
   }
 
   function recordEvents(): void {
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -237,7 +237,7 @@
     views,
     zone: dependencies.zone,
     promptTokens,
-    usualPromptTokens: estimates.getUsualTokens(),
+    usualPromptTokens: estimates.getMeanTokens(),
     prefillMsPerToken: estimates.getMsPerToken(),
   });
   const target = available.find(({ id }) => id === placement?.target);
