--- a/packages/sequoiarill-decisions/src/__tests__/latencyAdmission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/latencyAdmission.test.ts
@@ -64,7 +64,11 @@
     const router = Math.floor(nextRandom() * ROUTERS);
     const admission = doors[router] as LatencyAdmission;
     const { isReturning } = caller;
-    const decision = admission.decide({ slots: SLOTS, routers: ROUTERS, isReturning });
+    const decision = admission.decide({
+      slots: SLOTS,
+      routers: ROUTERS,
+      isClientRetry: isReturning,
+    });
     if (hasDoor && decision.kind === 'refuse') {
       refuse(caller, nowMs, decision.retryAfterSeconds);
     } else if (queue.length >= QUEUE) {
--- a/packages/sequoiarill-decisions/src/__tests__/promptEstimates.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/promptEstimates.test.ts
@@ -10,12 +10,12 @@
 describe('estimates of prompts', () => {
   it('learn the speed of prefill, for which a prompt that met another counts for little', () => {
     const speed = PromptEstimates.createPromptEstimates();
-    for (let index = 0; index < 100; index += 1) speed.recordPrompt(8_000, PROMPT_MS);
+    for (let index = 0; index < 100; index += 1) speed.recordPrefill(8_000, PROMPT_MS);
     const before = speed.getMsPerToken();
     expect(before).toBeCloseTo(PROMPT_MS / 8_000, 0.005);
-    speed.recordPrompt(8_000, 9_000);
+    speed.recordPrefill(8_000, 9_000);
     expect(speed.getMsPerToken()).toBeLessThan(before * 1.06);
-    speed.recordPrompt(100, 9_000);
+    speed.recordPrefill(100, 9_000);
     expect(speed.getMsPerToken()).toBeLessThan(before * 1.06);
   });
 
@@ -24,7 +24,7 @@
     // long ones, every stream that met another was refused, for as long as its callers came.
     const estimates = PromptEstimates.createPromptEstimates();
     for (let index = 0; index < 20; index += 1) estimates.recordRequest(40);
-    const firstEventMs = 3 * estimates.getUsualTokens() * estimates.getMsPerToken();
+    const firstEventMs = 3 * estimates.getMeanTokens() * estimates.getMsPerToken();
     const question = { promptsAhead: 2, firstEventMs, objectiveMs: 300 };
     expect(StreamAdmissions.decideStreamAdmission(question)).toEqual({ kind: 'admit' });
   });
--- a/packages/sequoiarill-decisions/src/__tests__/rollouts.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/rollouts.test.ts
@@ -67,7 +67,7 @@
 const SLOW_CLASS = 11;
 
 function createCounts(latencyClass: number, count: number): readonly number[] {
-  return Array.from({ length: RolloutAssessments.LATENCY_CLASSES }, (_one, index) =>
+  return Array.from({ length: RolloutAssessments.LATENCY_CLASS_COUNT }, (_one, index) =>
     index === latencyClass ? count : 0,
   );
 }
@@ -96,7 +96,10 @@
 const OLD_READS = createTally('reads', undefined, { good: 980, failures: 20 });
 
 function decideVerdict(...fresh: readonly VersionCounts[]) {
-  return RolloutAssessments.checkVersion([OLD_WRITES, OLD_READS, ...fresh], FRESH.length).verdict;
+  return RolloutAssessments.computeRolloutAssessment(
+    [OLD_WRITES, OLD_READS, ...fresh],
+    FRESH.length,
+  ).result;
 }
 
 describe('the verdict on a version', () => {
@@ -117,14 +120,19 @@
     const failing = createTally('reads', 'e', { good: 5, failures: 15 });
     expect(decideVerdict(failing)).toEqual('doubtful');
     const others = ['f', 'g'].map((id) => createTally('reads', id, { good: 10 }));
-    const judged = RolloutAssessments.checkVersion([OLD_READS, failing, ...others], FRESH.length);
-    expect([judged.verdict, judged.avoided]).toEqual(['sound', ['e']]);
+    const judged = RolloutAssessments.computeRolloutAssessment(
+      [OLD_READS, failing, ...others],
+      FRESH.length,
+    );
+    expect([judged.result, judged.avoided]).toEqual(['sound', ['e']]);
   });
 
   it('does not blame the version for failures that the old one has too', () => {
     const old = createTally('reads', undefined, { good: 600, failures: 400 });
     const fresh = ['e', 'f', 'g'].map((id) => createTally('reads', id, { good: 12, failures: 8 }));
-    expect(RolloutAssessments.checkVersion([old, ...fresh], FRESH.length).verdict).toEqual('sound');
+    expect(
+      RolloutAssessments.computeRolloutAssessment([old, ...fresh], FRESH.length).result,
+    ).toEqual('sound');
   });
 
   it('says so when nothing of the version was seen', () => {
@@ -133,7 +141,7 @@
 });
 
 const LIMITS = { canaryShare: 0.1, canarySlack: 50 };
-const SOUND = { verdict: 'sound', answers: 40, badAnswers: 0, avoided: [] } as const;
+const SOUND = { result: 'sound', answers: 40, badAnswers: 0, avoided: [] } as const;
 
 const SITUATION: RolloutSituation = {
   phase: 'canary',
@@ -142,12 +150,12 @@
   phaseMs: 2_000,
   durationMs: 12_000,
   isInService: false,
-  judgement: SOUND,
+  assessment: SOUND,
   targetCount: 7,
   requests: 600,
   leaving: 0,
   canHandOver: false,
-  isQuorate: true,
+  hasQuorum: true,
   intervalMs: 400,
 };
 
@@ -167,9 +175,9 @@
   });
 
   it('goes forward only with most routers heard, and back with any', () => {
-    expect(decidePhase({ elapsedMs: 8_000, isQuorate: false })).toEqual(undefined);
-    const bad = { ...SOUND, verdict: 'bad', route: 'reads' } as const;
-    expect(decidePhase({ judgement: bad, isQuorate: false })).toEqual('rolledBack');
+    expect(decidePhase({ elapsedMs: 8_000, hasQuorum: false })).toEqual(undefined);
+    const bad = { ...SOUND, result: 'bad', route: 'reads' } as const;
+    expect(decidePhase({ assessment: bad, hasQuorum: false })).toEqual('rolledBack');
   });
 
   it('does not complete while an order is at a target that would stop at once', () => {
@@ -180,14 +188,14 @@
   });
 
   it('rolls back what is doubtful or unseen when time is up, and finishes what is sound', () => {
-    const doubtful = { ...SOUND, verdict: 'doubtful', route: 'reads' } as const;
-    expect(decidePhase({ elapsedMs: 11_500, judgement: doubtful })).toEqual('rolledBack');
+    const doubtful = { ...SOUND, result: 'doubtful', route: 'reads' } as const;
+    expect(decidePhase({ elapsedMs: 11_500, assessment: doubtful })).toEqual('rolledBack');
     expect(decidePhase({ elapsedMs: 11_500 })).toEqual('trial');
   });
 
   it('changes nothing after the end', () => {
-    const bad = { ...SOUND, verdict: 'bad', route: 'reads' } as const;
-    expect(decidePhase({ phase: 'completed', judgement: bad })).toEqual(undefined);
+    const bad = { ...SOUND, result: 'bad', route: 'reads' } as const;
+    expect(decidePhase({ phase: 'completed', assessment: bad })).toEqual(undefined);
     expect(decidePhase({ phase: 'rolledBack' })).toEqual(undefined);
   });
 });
--- a/packages/sequoiarill-decisions/src/__tests__/targetChooser.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/targetChooser.test.ts
@@ -5,7 +5,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 
 import * as TargetChooser from '../targetChooser';
-import type { ChoiceRequest, TargetView } from '../targets';
+import type { TargetChoiceRequest, TargetView } from '../targetChoiceTypes';
 
 function createRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
@@ -25,7 +25,10 @@
   };
 }
 
-function buildRequest(candidates: readonly TargetView[], change: Partial<ChoiceRequest> = {}) {
+function buildRequest(
+  candidates: readonly TargetView[],
+  change: Partial<TargetChoiceRequest> = {},
+) {
   return {
     candidates,
     zone: 'z1',
--- a/packages/sequoiarill-decisions/src/admission.ts
+++ b/packages/sequoiarill-decisions/src/admission.ts
@@ -28,7 +28,7 @@
 export function createAdmission(options: Types.AdmissionOptions): Types.Admission {
   const bounds = {
     maxWaitMs: options.maxWaitMs ?? DEFAULT_MAX_WAIT_MS,
-    maxQueueLength: options.maxQueueLength ?? DEFAULT_MAX_QUEUE_LENGTH,
+    maxLength: options.maxQueueLength ?? DEFAULT_MAX_QUEUE_LENGTH,
   };
   const limiter = OrganisationLimits.createOrganisationLimiter();
   const estimates = OutputEstimates.createOutputEstimates();
--- a/packages/sequoiarill-decisions/src/enginePlacement.ts
+++ b/packages/sequoiarill-decisions/src/enginePlacement.ts
@@ -9,7 +9,7 @@
  * and the copy goes to another zone, which the next crash is unlikely to take as well.
  */
 
-import * as Names from './names';
+import * as RendezvousHashing from './rendezvousHashing';
 
 /** One engine that was asked, as it answered. */
 export interface EngineView {
@@ -107,9 +107,12 @@
   prompt: string,
   countIn: (zone: string) => number,
 ): readonly Engine[] {
-  const digest = Names.hashName(prompt);
+  const digest = RendezvousHashing.hashName(prompt);
   const ranked = engines
-    .map((engine) => ({ engine, rank: Names.hashPair(Names.hashName(engine.id), digest) }))
+    .map((engine) => ({
+      engine,
+      rank: RendezvousHashing.hashPair(RendezvousHashing.hashName(engine.id), digest),
+    }))
     .sort((left, right) => right.rank - left.rank);
   const taken = new Map<string, number>();
   return ranked
--- a/packages/sequoiarill-decisions/src/expectedWait.ts
+++ b/packages/sequoiarill-decisions/src/expectedWait.ts
@@ -6,7 +6,7 @@
  * So a report counts together with what was sent after it, fades with its age, and never says less
  * than this router's own work there.
  */
-import type { ChoiceRequest, TargetView } from './targets';
+import type { TargetChoiceRequest, TargetView } from './targetChoiceTypes';
 
 /** A report is taken as it is up to this age: the usual lag, within which little else changes. */
 const REPORT_FRESH_MS = 2_500;
@@ -37,7 +37,7 @@
 /** Work at the target now, its own and others', in generations. */
 export function computeOccupancy(
   view: TargetView,
-  purpose: ChoiceRequest['purpose'] = 'first',
+  purpose: TargetChoiceRequest['purpose'] = 'first',
 ): number {
   if (view.reportedRunning === undefined) return view.inFlight;
   const ageMs = view.reportAgeMs ?? 0;
@@ -59,7 +59,7 @@
   reported: number,
   ownChange: number,
   view: TargetView,
-  purpose: ChoiceRequest['purpose'],
+  purpose: TargetChoiceRequest['purpose'],
 ): number {
   if (purpose === 'first' || ownChange <= 0) return 1;
   const ownBefore = Math.max(1, view.inFlight - ownChange);
@@ -79,7 +79,7 @@
 }
 
 export interface WaitQuestion {
-  readonly purpose: ChoiceRequest['purpose'];
+  readonly purpose: TargetChoiceRequest['purpose'];
   readonly zone: string;
   readonly promptTokens: number;
   readonly cachedShare: number;
--- a/packages/sequoiarill-decisions/src/fleetShares.ts
+++ b/packages/sequoiarill-decisions/src/fleetShares.ts
@@ -18,7 +18,7 @@
  */
 import * as Claims from './demandClaims';
 import * as DemandTables from './demandTable';
-import * as PartitionParts from './partitionParts';
+import * as PartitionShares from './partitionShares';
 
 /** Part of a limit that is split evenly, so that a router that had no demand can start at all. */
 const FLOOR = 0.1;
@@ -90,7 +90,7 @@
   const claimsByOrganisation = new Map<string, Claims.DemandClaims>();
   const peers = DemandTables.createDemandTable();
   const lastReports = new Map<string, KnownReport>();
-  const parts = PartitionParts.createPartitionParts();
+  const parts = PartitionShares.createPartitionShares();
   let sequence = 0;
 
   function recordDemand(organisation: string, tokens: number, nowMs: number): void {
@@ -156,7 +156,7 @@
   function splitDemand(
     organisation: string,
     routers: ReadonlySet<string>,
-  ): PartitionParts.SplitDemand {
+  ): PartitionShares.SplitDemand {
     let unreachable = 0;
     for (const router of routers) unreachable += peers.getDemand(router, organisation);
     const heard = Math.max(0, peers.getTotal(organisation) - unreachable);
@@ -175,7 +175,7 @@
   function getShare(organisation: string, nowMs: number): number {
     const count = Math.max(1, options.getRouterCount());
     if (count === 1) return 1;
-    const part = parts.getPart(organisation, nowMs);
+    const part = parts.getShare(organisation, nowMs);
     const lost = parts.getUnreachable(nowMs);
     const { reachable } = splitDemand(organisation, lost);
     const floor = FLOOR / count;
--- a/packages/sequoiarill-decisions/src/latencyAdmission.ts
+++ b/packages/sequoiarill-decisions/src/latencyAdmission.ts
@@ -24,7 +24,7 @@
   /** Routers that send to them, this one too. */
   readonly routers: number;
   /** Its caller has waited before, so that its answer will be late in any case. */
-  readonly isReturning: boolean;
+  readonly isClientRetry: boolean;
 }
 
 export type LatencyAdmissionDecision =
@@ -102,7 +102,7 @@
       lateness = lateness === undefined ? late : lateness + (late - lateness) * LATENCY_GAIN;
       updateShare(nowMs);
     },
-    decide({ slots, routers, isReturning }) {
+    decide({ slots, routers, isClientRetry: isReturning }) {
       meanInProgress += (inProgress - meanInProgress) * IN_PROGRESS_GAIN;
       if (meanInProgress * routers <= slots * BUSY_PER_SLOT) return { kind: 'admit' };
       if (nextRandom() >= computeChance(isReturning)) return { kind: 'admit' };
--- a/packages/sequoiarill-decisions/src/partitionParts.ts
+++ b/packages/sequoiarill-decisions/src/partitionShares.ts
@@ -17,7 +17,7 @@
   readonly unreachable: number;
 }
 
-export interface PartitionParts {
+export interface PartitionShares {
   /** Each change of what can't be reached, with the demands as split by it. */
   readonly setUnreachable: (
     unreachable: ReadonlySet<string>,
@@ -26,14 +26,14 @@
     nowMs: number,
   ) => void;
   /** 1 while everybody is reachable. */
-  readonly getPart: (organisation: string, nowMs: number) => number;
+  readonly getShare: (organisation: string, nowMs: number) => number;
   /** Routers whose demand does not count on this side. */
   readonly getUnreachable: (nowMs: number) => ReadonlySet<string>;
 }
 
 const NOBODY: ReadonlySet<string> = new Set();
 
-export function createPartitionParts(): PartitionParts {
+export function createPartitionShares(): PartitionShares {
   let known = NOBODY;
   let healedAtMs = Number.NEGATIVE_INFINITY;
   let usualPart = 1;
@@ -72,7 +72,7 @@
 
   return {
     setUnreachable,
-    getPart: (organisation, nowMs) =>
+    getShare: (organisation, nowMs) =>
       isInForce(nowMs) ? (parts.get(organisation) ?? usualPart) : 1,
     getUnreachable: (nowMs) => (isInForce(nowMs) ? known : NOBODY),
   };
--- a/packages/sequoiarill-decisions/src/prefixAffinity.ts
+++ b/packages/sequoiarill-decisions/src/prefixAffinity.ts
@@ -6,7 +6,7 @@
  * and with gaps, so this goes by what this router sent, forgets it after a while, and is only a
  * discount on the expected wait: a hot prefix spills over to idle targets by itself.
  */
-import * as Names from './names';
+import * as RendezvousHashing from './rendezvousHashing';
 
 /** Engines evict by age; minutes-old prefixes are usually gone. Milliseconds. */
 const MEMORY_MS = 120_000;
@@ -82,11 +82,11 @@
  * rendezvous hashing. Without it 32 routers of a zone would make up to 32 copies of each prefix.
  */
 export function choosePreferredTarget(prefixKey: string, names: readonly string[]): number {
-  const digest = Names.hashName(prefixKey);
+  const digest = RendezvousHashing.hashName(prefixKey);
   let best = -1;
   let bestRank = -1;
   for (const [index, name] of names.entries()) {
-    const rank = Names.hashPair(digest, Names.hashName(name));
+    const rank = RendezvousHashing.hashPair(digest, RendezvousHashing.hashName(name));
     if (rank > bestRank) {
       best = index;
       bestRank = rank;
--- a/packages/sequoiarill-decisions/src/promptEstimates.ts
+++ b/packages/sequoiarill-decisions/src/promptEstimates.ts
@@ -10,9 +10,9 @@
   /** A request came with a prompt of so many tokens. */
   readonly recordRequest: (tokens: number) => void;
   /** A prompt that waited for no other was read in this time. */
-  readonly recordPrompt: (tokens: number, ms: number) => void;
+  readonly recordPrefill: (tokens: number, ms: number) => void;
   /** Tokens of a prompt of which nothing else is known. */
-  readonly getUsualTokens: () => number;
+  readonly getMeanTokens: () => number;
   readonly getMsPerToken: () => number;
 }
 
@@ -36,12 +36,12 @@
       usualTokens =
         usualTokens === undefined ? tokens : usualTokens + (tokens - usualTokens) * GAIN;
     },
-    recordPrompt(tokens, ms) {
+    recordPrefill(tokens, ms) {
       if (tokens < MIN_TOKENS) return;
       const measured = Math.min(ms / tokens, msPerToken * MAX_FACTOR);
       msPerToken += (measured - msPerToken) * GAIN;
     },
-    getUsualTokens: () => usualTokens ?? INITIAL_TOKENS,
+    getMeanTokens: () => usualTokens ?? INITIAL_TOKENS,
     getMsPerToken: () => msPerToken,
   };
 }
--- a/packages/sequoiarill-decisions/src/queueAdmission.ts
+++ b/packages/sequoiarill-decisions/src/queueAdmission.ts
@@ -16,13 +16,13 @@
 
 export interface DoorBounds {
   readonly maxWaitMs: number;
-  readonly maxQueueLength: number;
+  readonly maxLength: number;
 }
 
 export interface DoorAccepted {
   readonly kind: 'accept';
   readonly waitMs: number;
-  readonly acceptedMs: number;
+  readonly maxWaitMs: number;
   /** Dropped to make room: the newest of the organisation that holds most of a full queue. */
   readonly victim?: QueuedTicket;
 }
@@ -50,21 +50,20 @@
     weight: organisation.weight,
     work: cost.work,
   });
-  const acceptedMs = Math.min(bounds.maxWaitMs, request.maxWaitMs ?? bounds.maxWaitMs);
-  if (waitMs > acceptedMs) {
+  const maxWaitMs = Math.min(bounds.maxWaitMs, request.maxWaitMs ?? bounds.maxWaitMs);
+  if (waitMs > maxWaitMs) {
     const message =
       `overloaded: expected wait of ${Math.round(waitMs)} ms for model ${model} ` +
-      `is above ${Math.round(acceptedMs)} ms`;
+      `is above ${Math.round(maxWaitMs)} ms`;
     return { kind: 'refuse', waitMs, message };
   }
-  if (modelQueue.queue.getLength() < bounds.maxQueueLength)
-    return { kind: 'accept', waitMs, acceptedMs };
+  if (modelQueue.queue.getLength() < bounds.maxLength) return { kind: 'accept', waitMs, maxWaitMs };
   const victim = modelQueue.queue.findHeaviestLast();
   if (victim === undefined || victim.organisation === organisation.name) {
-    const message = `overloaded: ${bounds.maxQueueLength} requests wait for model ${model}`;
+    const message = `overloaded: ${bounds.maxLength} requests wait for model ${model}`;
     return { kind: 'refuse', waitMs, message };
   }
-  return { kind: 'accept', waitMs, acceptedMs, victim };
+  return { kind: 'accept', waitMs, maxWaitMs, victim };
 }
 
 export function createQueuedTicket(
@@ -80,7 +79,7 @@
     model: request.model,
     queuedAtMs: nowMs,
     expectedWaitMs: accepted.waitMs,
-    deadlineMs: nowMs + accepted.acceptedMs * DEADLINE_SLACK,
+    deadlineMs: nowMs + accepted.maxWaitMs * DEADLINE_SLACK,
   };
   return {
     ticket,
--- a/packages/sequoiarill-decisions/src/rateLimitShares.ts
+++ b/packages/sequoiarill-decisions/src/rateLimitShares.ts
@@ -9,7 +9,7 @@
  */
 import type { ObservedLimit, RateLimitedTarget, RouterLocation } from '@sequoiarill/types';
 
-import * as Names from './names';
+import * as RendezvousHashing from './rendezvousHashing';
 
 export interface RateLimitShares {
   /** Limits other than this one replace it where they were heard later. */
@@ -17,21 +17,21 @@
   /** A limit that was heard lately, or that there is none any more; undefined where nothing is known. */
   readonly findLimit: (life: string, nowMs: number) => ObservedLimit | undefined;
   /** Whether this router may send a request now. */
-  readonly isOpen: (life: string, nowMs: number) => boolean;
+  readonly isSendAllowed: (life: string, nowMs: number) => boolean;
   /** Also where it may not, for a run that goes on: the next ones wait longer. */
   readonly recordSend: (life: string, nowMs: number) => void;
   /** Whole requests that this router gives another one, at most `wanted`; they count as sent here. */
-  readonly lendPermits: (life: string, wanted: number, nowMs: number) => number;
+  readonly grantPermits: (life: string, wanted: number, nowMs: number) => number;
   readonly recordBorrowed: (life: string, permits: number, nowMs: number) => void;
   /** Routers that send to the target, this one too where it is among them. */
   readonly listSenders: (life: string, nowMs: number) => readonly string[];
   /** All routers, in the order in which they come to send to the target. */
-  readonly listRanked: (life: string, nowMs: number) => readonly string[];
+  readonly listRankedRouters: (life: string, nowMs: number) => readonly string[];
   /** Time until this router may send, milliseconds; undefined where it is not among the senders. */
   readonly getWaitMs: (life: string, nowMs: number) => number | undefined;
-  readonly list: () => readonly RateLimitedTarget[];
+  readonly listTargets: () => readonly RateLimitedTarget[];
   readonly countTargets: () => number;
-  readonly removeOld: (nowMs: number) => void;
+  readonly removeExpired: (nowMs: number) => void;
 }
 
 export interface RateLimitSharesOptions {
@@ -39,7 +39,7 @@
   readonly getSelf: () => string;
   readonly listRouters: () => readonly RouterLocation[];
   /** Limits are forgotten when they were not heard again for so long, milliseconds. */
-  readonly getMemoryMs: () => number;
+  readonly getRetentionMs: () => number;
   readonly countSenders?: CountSenders;
 }
 
@@ -75,7 +75,7 @@
 }
 
 export function createRateLimitShares(options: RateLimitSharesOptions): RateLimitShares {
-  const { getSelf, listRouters, getMemoryMs } = options;
+  const { getSelf, listRouters, getRetentionMs: getMemoryMs } = options;
   const chooseCount = options.countSenders ?? countSenders;
   const entries = new Map<string, Entry>();
 
@@ -89,7 +89,7 @@
   function sortRouters({ life, zone }: RateLimitedTarget): readonly string[] {
     const routers = listRouters();
     const zones = new Map(routers.map((router) => [router.address, router.zone]));
-    const ranked = Names.sortByRank([...zones.keys()], life);
+    const ranked = RendezvousHashing.sortByRank([...zones.keys()], life);
     const isNear = (address: string): boolean => zones.get(address) === zone;
     return [...ranked.filter(isNear), ...ranked.filter((address) => !isNear(address))];
   }
@@ -160,7 +160,7 @@
       const ageMs = Math.max(0, nowMs - entry.heardAtMs);
       return entry.perSecond === undefined ? { ageMs } : { perSecond: entry.perSecond, ageMs };
     },
-    isOpen(life, nowMs) {
+    isSendAllowed(life, nowMs) {
       const entry = findEntry(life, nowMs);
       if (entry?.perSecond === undefined) return true;
       updatePermits(entry, nowMs);
@@ -172,7 +172,7 @@
       updatePermits(entry, nowMs);
       entry.permits = Math.max(-MAX_OWED, entry.permits - 1);
     },
-    lendPermits(life, wanted, nowMs) {
+    grantPermits(life, wanted, nowMs) {
       const entry = findEntry(life, nowMs);
       if (entry?.perSecond === undefined) return 0;
       updatePermits(entry, nowMs);
@@ -190,7 +190,7 @@
       const entry = findEntry(life, nowMs);
       return entry?.perSecond === undefined ? [] : selectSenders(entry, nowMs);
     },
-    listRanked(life, nowMs) {
+    listRankedRouters(life, nowMs) {
       const entry = findEntry(life, nowMs);
       return entry === undefined ? [] : updateRanked(entry, nowMs);
     },
@@ -201,8 +201,8 @@
       const rate = computeRate(entry, nowMs);
       return rate === 0 ? undefined : (Math.max(0, 1 - entry.permits) / rate) * MS_PER_SECOND;
     },
-    list: () => [...entries.values()],
+    listTargets: () => [...entries.values()],
     countTargets: () => entries.size,
-    removeOld: (nowMs) => [...entries.keys()].forEach((life) => findEntry(life, nowMs)),
+    removeExpired: (nowMs) => [...entries.keys()].forEach((life) => findEntry(life, nowMs)),
   };
 }
--- a/packages/sequoiarill-decisions/src/rolloutAssessment.ts
+++ b/packages/sequoiarill-decisions/src/rolloutAssessment.ts
@@ -9,7 +9,7 @@
 import type { VersionCounts } from '@sequoiarill/types';
 
 export interface RolloutAssessment {
-  readonly verdict: 'bad' | 'doubtful' | 'sound' | 'unseen';
+  readonly result: 'bad' | 'doubtful' | 'sound' | 'unseen';
   /** The route that decided. */
   readonly route?: string;
   /** Answers of the new version. */
@@ -22,7 +22,7 @@
 
 /** Two classes for each doubling. */
 const CLASSES_PER_DOUBLING = 2;
-export const LATENCY_CLASSES = 16;
+export const LATENCY_CLASS_COUNT = 16;
 /** The first class ends at this share of the objective. */
 const FIRST_CLASS_SHARE = 1 / 64;
 
@@ -45,7 +45,7 @@
 
 export function computeLatencyClass(latencyMs: number, objectiveMs: number): number {
   const ratio = Math.max(latencyMs / objectiveMs / FIRST_CLASS_SHARE, 1);
-  return Math.min(LATENCY_CLASSES - 1, Math.floor(Math.log2(ratio) * CLASSES_PER_DOUBLING));
+  return Math.min(LATENCY_CLASS_COUNT - 1, Math.floor(Math.log2(ratio) * CLASSES_PER_DOUBLING));
 }
 
 function countGood(tallies: readonly VersionCounts[]): number {
@@ -63,13 +63,13 @@
 /** Answers in this class and above count as slow: only a few of the old version are. */
 function findSlowClass(old: readonly VersionCounts[]): number {
   const total = countGood(old);
-  if (total < MIN_COMPARED) return LATENCY_CLASSES;
+  if (total < MIN_COMPARED) return LATENCY_CLASS_COUNT;
   let above = total;
-  for (let index = 0; index < LATENCY_CLASSES; index += 1) {
+  for (let index = 0; index < LATENCY_CLASS_COUNT; index += 1) {
     above -= old.reduce((sum, { byLatency }) => sum + (byLatency[index] ?? 0), 0);
     if (above <= total * SLOW_SHARE) return index + 1;
   }
-  return LATENCY_CLASSES;
+  return LATENCY_CLASS_COUNT;
 }
 
 interface Count {
@@ -166,7 +166,7 @@
 }
 
 /** `targetCount`: targets that the new version has. */
-export function checkVersion(
+export function computeRolloutAssessment(
   tallies: readonly VersionCounts[],
   targetCount: number,
 ): RolloutAssessment {
@@ -175,7 +175,7 @@
   const fresh = mergeCounts(routes.flatMap(({ byTarget }) => [...byTarget.values()]));
   const avoided = listBadTargets(routes);
   const counts = { answers: fresh.answers, badAnswers: fresh.bad, avoided };
-  if (fresh.answers === 0) return { verdict: 'unseen', ...counts };
+  if (fresh.answers === 0) return { result: 'unseen', ...counts };
   // Failure: one new target crashes or fails by itself, and a sound version is rolled back for it.
   const excluded = targetCount > 1 ? findWorstTarget(routes) : undefined;
   const judged = routes.map((one) => computeRouteEvidence(one, excluded));
@@ -183,9 +183,9 @@
   const route = worst?.route ?? '';
   const evidence = judged.reduce((sum, one) => sum + one.evidence, 0);
   const areTargetsBad = avoided.length >= Math.min(2, targetCount);
-  if (areTargetsBad || isAnyProof(judged)) return { verdict: 'bad', route, ...counts };
+  if (areTargetsBad || isAnyProof(judged)) return { result: 'bad', route, ...counts };
   // After one target was bad the others have to show that it was the target alone.
   const isAlone = avoided.length === 0 || evidence < -DOUBT_EVIDENCE;
   const isSound = isAlone && (worst?.evidence ?? 0) <= DOUBT_EVIDENCE;
-  return { verdict: isSound ? 'sound' : 'doubtful', route, ...counts };
+  return { result: isSound ? 'sound' : 'doubtful', route, ...counts };
 }
--- a/packages/sequoiarill-decisions/src/rolloutPlan.ts
+++ b/packages/sequoiarill-decisions/src/rolloutPlan.ts
@@ -20,7 +20,7 @@
   readonly durationMs: number;
   /** The version is the one in service. */
   readonly isInService: boolean;
-  readonly judgement: RolloutAssessment;
+  readonly assessment: RolloutAssessment;
   /** Targets of the version that are ready. */
   readonly targetCount: number;
   /** Requests of the service so far, over all routers. */
@@ -30,7 +30,7 @@
   /** Work in progress can go on at another target without being run again. */
   readonly canHandOver: boolean;
   /** Most of the routers have reported lately. */
-  readonly isQuorate: boolean;
+  readonly hasQuorum: boolean;
   /** Pause between two reports of a router, milliseconds. */
   readonly intervalMs: number;
 }
@@ -104,11 +104,11 @@
 }
 
 function decideCanary(situation: RolloutSituation, limits: RolloutLimits): RolloutStep | undefined {
-  const { elapsedMs, durationMs, share, judgement, targetCount } = situation;
+  const { elapsedMs, durationMs, share, assessment: judgement, targetCount } = situation;
   const marginMs = MARGIN_MS + situation.intervalMs * MARGIN_INTERVALS;
   const trialAtMs = durationMs - marginMs - computeMoveMs(situation) - computeTrialMs(situation);
   const isDue = elapsedMs >= trialAtMs;
-  const isSound = judgement.verdict === 'sound' && targetCount > 0;
+  const isSound = judgement.result === 'sound' && targetCount > 0;
   if (isDue && isSound) {
     const trialShare = computeWithin(TRIAL_TARGETS / targetCount, MIN_TRIAL_SHARE, MAX_TRIAL_SHARE);
     return { phase: 'trial', share: Math.max(share, trialShare), reason: 'sound so far' };
@@ -119,9 +119,9 @@
 }
 
 function decideTrial(situation: RolloutSituation): RolloutStep | undefined {
-  const { phaseMs, judgement } = situation;
+  const { phaseMs, assessment: judgement } = situation;
   const isOver = phaseMs >= computeTrialMs(situation);
-  if (!isOver || judgement.verdict !== 'sound') return undefined;
+  if (!isOver || judgement.result !== 'sound') return undefined;
   return { phase: 'moving', share: 1, reason: 'sound under usual load' };
 }
 
@@ -146,14 +146,14 @@
   if (situation.phase !== 'moving') {
     return { phase: 'moving', share: 1, reason: 'it is in service' };
   }
-  return situation.isQuorate ? decideMoving(situation) : undefined;
+  return situation.hasQuorum ? decideMoving(situation) : undefined;
 }
 
 function decideForward(
   situation: RolloutSituation,
   limits: RolloutLimits,
 ): RolloutStep | undefined {
-  const { phase, isQuorate } = situation;
+  const { phase, hasQuorum: isQuorate } = situation;
   if (!isQuorate) return undefined;
   if (phase === 'canary') return decideCanary(situation, limits);
   return phase === 'trial' ? decideTrial(situation) : decideMoving(situation);
@@ -164,14 +164,14 @@
   situation: RolloutSituation,
   limits: RolloutLimits,
 ): RolloutStep | undefined {
-  const { phase, judgement, isInService, elapsedMs, durationMs } = situation;
+  const { phase, assessment: judgement, isInService, elapsedMs, durationMs } = situation;
   if (phase === 'completed' || phase === 'rolledBack') return undefined;
   if (isInService) return decideInService(situation);
   if (phase === 'ordered') {
     const share = limits.canaryShare * SHARE_PART;
     return { phase: 'canary', share, reason: 'it was ordered' };
   }
-  const { verdict, route } = judgement;
+  const { result: verdict, route } = judgement;
   const isSound = verdict === 'sound';
   if (verdict === 'bad') {
     return { phase: 'rolledBack', share: 0, reason: `bad answers on ${route ?? 'a route'}` };
--- a/packages/sequoiarill-decisions/src/rolloutSplit.ts
+++ b/packages/sequoiarill-decisions/src/rolloutSplit.ts
@@ -7,7 +7,7 @@
  */
 import type { RolloutPhase } from '@sequoiarill/types';
 
-import { sortByRank } from './names';
+import { sortByRank } from './rendezvousHashing';
 
 export interface VersionedTarget {
   readonly id: string;
--- a/packages/sequoiarill-decisions/src/simulation/policies.ts
+++ b/packages/sequoiarill-decisions/src/simulation/policies.ts
@@ -7,12 +7,12 @@
 import type { OutlierDetector as OutlierDecisions } from '../outlierTypes';
 import * as RetryBudget from '../retryBudget';
 import * as TargetChooser from '../targetChooser';
-import type { ChoiceRequest } from '../targets';
+import type { TargetChoiceRequest } from '../targetChoiceTypes';
 import { ENGINES, ROUTERS, SLOTS } from './patterns';
 
 /** Everything one router decides with. Absent parts are not decided at all. */
 export interface RouterPolicy {
-  readonly chooseTarget: (request: ChoiceRequest) => string | undefined;
+  readonly chooseTarget: (request: TargetChoiceRequest) => string | undefined;
   readonly recordEnd?: (target: string, nowMs: number) => void;
   readonly admission?: AdmissionDecisions;
   readonly detector?: OutlierDecisions;
@@ -65,7 +65,7 @@
   };
 }
 
-function listNames(request: ChoiceRequest): readonly string[] {
+function listNames(request: TargetChoiceRequest): readonly string[] {
   return request.candidates.map((view) => view.name).filter((name) => !request.excluded.has(name));
 }
 
--- a/packages/sequoiarill-decisions/src/simulation/routerViews.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerViews.ts
@@ -1,6 +1,6 @@
 /** What one router knows of the engines: its own work there, and reports as old as they are. */
 import type { OutlierDetector } from '../outlierTypes';
-import type { TargetView } from '../targets';
+import type { TargetView } from '../targetChoiceTypes';
 import type { EngineModel } from './engineModel';
 import type { Reports } from './reports';
 import type { Timeline } from './timeline';
--- a/packages/sequoiarill-decisions/src/targets.ts
+++ b/packages/sequoiarill-decisions/src/targetChoiceTypes.ts
@@ -24,7 +24,7 @@
   readonly warmShare: number;
 }
 
-export interface ChoiceRequest {
+export interface TargetChoiceRequest {
   readonly candidates: readonly TargetView[];
   /** Zone of this router. */
   readonly zone: string;
@@ -59,4 +59,4 @@
   readonly retryAfterSeconds: number;
 }
 
-export type Choice = TargetChosen | NoTargetChosen;
+export type TargetChoice = TargetChosen | NoTargetChosen;
--- a/packages/sequoiarill-decisions/src/targetChooser.ts
+++ b/packages/sequoiarill-decisions/src/targetChooser.ts
@@ -9,7 +9,12 @@
  */
 import * as ExpectedWait from './expectedWait';
 import * as PrefixAffinity from './prefixAffinity';
-import type { Choice, ChoiceRequest, ConsideredTarget, TargetView } from './targets';
+import type {
+  TargetChoice,
+  TargetChoiceRequest,
+  ConsideredTarget,
+  TargetView,
+} from './targetChoiceTypes';
 
 /** Usable candidates drawn from the own zone and from others. */
 export interface SampleCounts {
@@ -39,7 +44,7 @@
 }
 
 export interface TargetChooser {
-  readonly chooseTarget: (request: ChoiceRequest) => Choice;
+  readonly chooseTarget: (request: TargetChoiceRequest) => TargetChoice;
   /** A stream ended there: in saturation the surest sign of a free slot, newer than any report. */
   readonly recordEnd: (target: string, nowMs: number) => void;
 }
@@ -68,7 +73,7 @@
     indexByName.set(name, index);
   }
 
-  function listFreed(request: ChoiceRequest): readonly number[] {
+  function listFreed(request: TargetChoiceRequest): readonly number[] {
     freed = freed.filter((one) => request.nowMs - one.usedAtMs <= FREED_MEMORY_MS);
     return freed
       .map((one) => findCandidate(request.candidates, one))
@@ -78,7 +83,7 @@
       });
   }
 
-  function chooseTarget(request: ChoiceRequest): Choice {
+  function chooseTarget(request: TargetChoiceRequest): TargetChoice {
     const shares = listCachedShares(request, affinity);
     const indices = new Set([
       ...shares.keys(),
@@ -106,14 +111,14 @@
   return { chooseTarget, recordEnd };
 }
 
-function isUsable(view: TargetView, request: ChoiceRequest): boolean {
+function isUsable(view: TargetView, request: TargetChoiceRequest): boolean {
   if (view.state === 'dead' || view.state === 'leaving') return false;
   return !request.excluded.has(view.name);
 }
 
 /** Usable candidates that probably hold a prefix of the prompt, by index. */
 function listCachedShares(
-  request: ChoiceRequest,
+  request: TargetChoiceRequest,
   affinity: PrefixAffinity.PrefixAffinity,
 ): ReadonlyMap<number, number> {
   const shares = new Map<number, number>();
@@ -139,7 +144,7 @@
 }
 
 /** The shortest prefix is the one that prompts share, such as a shop's instructions. */
-function findHome(request: ChoiceRequest): number | undefined {
+function findHome(request: TargetChoiceRequest): number | undefined {
   const shared = request.prefixKeys.at(-1);
   if (shared === undefined) return undefined;
   const local = request.candidates.filter((view) => view.zone === request.zone);
@@ -157,7 +162,7 @@
 
 /** Indices of some usable candidates, own zone preferred; of all usable ones when draws fail. */
 function sampleIndices(
-  request: ChoiceRequest,
+  request: TargetChoiceRequest,
   samples: SampleCounts,
   nextRandom: () => number,
 ): readonly number[] {
@@ -182,7 +187,7 @@
 }
 
 function computeConsidered(
-  request: ChoiceRequest,
+  request: TargetChoiceRequest,
   index: number,
   shares: ReadonlyMap<number, number>,
 ): Considered {
@@ -211,7 +216,7 @@
   return `shortest expected wait of ${count}: ${Math.round(best.expectedWait)} ms${cached}`;
 }
 
-function decideNone(request: ChoiceRequest): Choice {
+function decideNone(request: TargetChoiceRequest): TargetChoice {
   const reason =
     request.candidates.length === 0
       ? 'no target serves this model'
--- a/packages/sequoiarill-decisions/src/targetSet.ts
+++ b/packages/sequoiarill-decisions/src/targetSet.ts
@@ -9,7 +9,7 @@
  * goes changes only the pairs it is in (and one more in each pair's count when the count changes).
  * The figures are in docs/design/0003.
  */
-import * as Names from './names';
+import * as RendezvousHashing from './rendezvousHashing';
 
 export interface TargetSetOptions {
   readonly routerName: string;
@@ -32,7 +32,7 @@
 const MIN_ROUTERS = 2;
 
 export function createTargetSet(options: TargetSetOptions): TargetSet {
-  const ownDigest = Names.hashName(options.routerName);
+  const ownDigest = RendezvousHashing.hashName(options.routerName);
 
   function selectTargets(
     targets: readonly string[],
@@ -44,9 +44,9 @@
     const routerCount = others.length + 1;
     const wanted = Math.ceil((options.size * routerCount) / targets.length);
     const routersPerTarget = Math.min(routerCount, Math.max(MIN_ROUTERS, wanted));
-    const otherDigests = others.map(Names.hashName);
+    const otherDigests = others.map(RendezvousHashing.hashName);
     return targets.filter((target) => {
-      const digest = Names.hashName(target);
+      const digest = RendezvousHashing.hashName(target);
       return computePlace(digest, ownDigest, otherDigests) < routersPerTarget;
     });
   }
@@ -56,10 +56,10 @@
 
 /** How many of the other routers rank above this one at the target. */
 function computePlace(target: number, own: number, others: readonly number[]): number {
-  const ownRank = Names.hashPair(target, own);
+  const ownRank = RendezvousHashing.hashPair(target, own);
   let place = 0;
   for (const other of others) {
-    if (Names.hashPair(target, other) > ownRank) place += 1;
+    if (RendezvousHashing.hashPair(target, other) > ownRank) place += 1;
   }
   return place;
 }
@@ -71,7 +71,7 @@
 ): readonly string[] {
   const ranked = targets.map((name) => ({
     name,
-    rank: Names.hashPair(Names.hashName(name), ownDigest),
+    rank: RendezvousHashing.hashPair(RendezvousHashing.hashName(name), ownDigest),
   }));
   ranked.sort((left, right) => right.rank - left.rank);
   return ranked.slice(0, size).map((entry) => entry.name);
--- a/packages/sequoiarill-plugin-forwarding/src/answers/__tests__/wholeAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/__tests__/wholeAnswer.test.ts
@@ -170,7 +170,7 @@
     const admission = fake.dependencies.getAdmission('orders');
     for (let index = 0; index < 200; index += 1) {
       admission.recordStart();
-      admission.decide({ slots: 1, routers: 1, isReturning: false });
+      admission.decide({ slots: 1, routers: 1, isClientRetry: false });
       admission.recordEnd(index * 50, { latencyMs: 500, objectiveMs: 100 });
       admission.recordStart();
     }
--- a/packages/sequoiarill-plugin-forwarding/src/answers/serviceAdmission.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/serviceAdmission.ts
@@ -15,7 +15,7 @@
   return dependencies.getAdmission(request.service).decide({
     slots: usable.reduce((sum, { slots }) => sum + slots, 0),
     routers: directory.countRouters(),
-    isReturning: request.isReturning,
+    isClientRetry: request.isReturning,
   });
 }
 
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -78,7 +78,7 @@
   const limits = Decisions.createRateLimitShares({
     getSelf: () => peers.self,
     listRouters: peers.listRouters,
-    getMemoryMs: () => Math.max(MIN_MEMORY_MS, getIntervalMs() * MEMORY_INTERVALS),
+    getRetentionMs: () => Math.max(MIN_MEMORY_MS, getIntervalMs() * MEMORY_INTERVALS),
     ...(options.countSenders === undefined ? {} : { countSenders: options.countSenders }),
   });
   /** When other routers may be asked about a target again. */
@@ -126,7 +126,7 @@
    * to a few that rank behind it, so that nobody tells all.
    */
   function sendNews(target: RateLimitedTarget, isFirstHand: boolean): void {
-    const ranked = limits.listRanked(target.life, clock.getNowMs());
+    const ranked = limits.listRankedRouters(target.life, clock.getNowMs());
     const place = ranked.indexOf(peers.self);
     const behind = place * TOLD_BY_EACH + 1;
     const told = place < 0 ? [] : ranked.slice(behind, behind + TOLD_BY_EACH);
@@ -171,7 +171,7 @@
     const { life } = limited;
     if (!isAskDue(`${life} wanted`)) return false;
     for (const sender of listOthers(life).slice(0, MAX_LENDERS)) {
-      if (await borrowFrom(limited, sender, 1)) return limits.isOpen(life, clock.getNowMs());
+      if (await borrowFrom(limited, sender, 1)) return limits.isSendAllowed(life, clock.getNowMs());
     }
     askAgainMs.set(`${life} wanted`, clock.getNowMs() + REFUSED_MS);
     return false;
@@ -186,7 +186,7 @@
     isOpen(target) {
       if (limits.countTargets() === 0) return true;
       const limited = buildLimited(target);
-      const isOpen = limits.isOpen(limited.life, clock.getNowMs());
+      const isOpen = limits.isSendAllowed(limited.life, clock.getNowMs());
       if (!isOpen) updateLimit(limited);
       return isOpen;
     },
@@ -206,16 +206,16 @@
     lendPermits({ life, zone, wanted, known }) {
       recordLimit({ life, zone }, known);
       const nowMs = clock.getNowMs();
-      const permits = limits.lendPermits(life, wanted, nowMs);
+      const permits = limits.grantPermits(life, wanted, nowMs);
       const found = limits.findLimit(life, nowMs);
       return found === undefined ? { permits } : { permits, known: found };
     },
     removeOld() {
       const nowMs = clock.getNowMs();
-      limits.removeOld(nowMs);
+      limits.removeExpired(nowMs);
       for (const [key, atMs] of askAgainMs) if (atMs <= nowMs) askAgainMs.delete(key);
       news.removeOld((life) => limits.findLimit(life, nowMs) !== undefined);
     },
-    dumpState: () => limits.list().map(({ life }) => life),
+    dumpState: () => limits.listTargets().map(({ life }) => life),
   };
 }
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamAttempt.ts
@@ -150,7 +150,7 @@
     recordVersion('answered');
     policy.recordFirstToken(target.id, ms, order.prefillTokens);
     if (order.promptsAhead !== 0) return;
-    dependencies.getPromptEstimates(request.service).recordPrompt(order.prefillTokens, ms);
+    dependencies.getPromptEstimates(request.service).recordPrefill(order.prefillTokens, ms);
   }
 
   function recordEvents(): void {
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -214,7 +214,7 @@
     views,
     zone: dependencies.zone,
     promptTokens,
-    usualPromptTokens: estimates.getUsualTokens(),
+    usualPromptTokens: estimates.getMeanTokens(),
     prefillMsPerToken: estimates.getMsPerToken(),
   });
   const target = ready.find(({ id }) => id === placement?.target);
--- a/packages/sequoiarill-plugin-rollouts/src/answerTallies.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/answerTallies.ts
@@ -25,7 +25,7 @@
 }
 
 function createCounts(): number[] {
-  return Array.from({ length: Decisions.LATENCY_CLASSES }, () => 0);
+  return Array.from({ length: Decisions.LATENCY_CLASS_COUNT }, () => 0);
 }
 
 export function createAnswerTallies(getNowMs: () => number): AnswerTallies {
--- a/packages/sequoiarill-plugin-rollouts/src/judge.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/judge.ts
@@ -78,7 +78,10 @@
     const targets = directory
       .listTargets(service)
       .filter(({ version, state }) => version === split.toVersion && state === 'ready');
-    const judgement = Decisions.checkVersion(memory.reports.listTallies(), targets.length);
+    const judgement = Decisions.computeRolloutAssessment(
+      memory.reports.listTallies(),
+      targets.length,
+    );
     memory.avoided = new Set([...memory.avoided, ...judgement.avoided]);
     return { judgement, targetCount: targets.length };
   }
@@ -96,13 +99,13 @@
       phaseMs: nowMs - (record?.seenAtMs ?? nowMs),
       durationMs: order.durationMs,
       isInService: split.fromVersion === split.toVersion,
-      judgement: memory.isHalted ? { ...judgement, verdict: 'bad' as const } : judgement,
+      assessment: memory.isHalted ? { ...judgement, result: 'bad' as const } : judgement,
       targetCount,
       requests: memory.reports.countAnswers(),
       leaving: fresh.reduce((sum, { leaving }) => sum + leaving, 0),
       canHandOver: engine?.hasBackups === true,
       intervalMs: options.getIntervalMs(),
-      isQuorate: fresh.length > options.countRouters() * QUORUM,
+      hasQuorum: fresh.length > options.countRouters() * QUORUM,
     };
   }
 
@@ -154,7 +157,7 @@
     const situation = createSituation(view, order, memory);
     const step = options.decideStep(situation, options.limits);
     if (step === undefined) return;
-    const { judgement, elapsedMs, leaving, requests } = situation;
+    const { assessment: judgement, elapsedMs, leaving, requests } = situation;
     if (step.phase === 'rolledBack' && !memory.isHalted) {
       memory.isHalted = true;
       logEvent(Events.HALTED, { service, toVersion: split.toVersion, reason: step.reason });
@@ -167,7 +170,7 @@
       phase: step.phase,
       share: step.share,
       reason: step.reason,
-      verdict: judgement.verdict,
+      verdict: judgement.result,
       answers: judgement.answers,
       badAnswers: judgement.badAnswers,
       requests,
--- a/packages/sequoiarill-plugin-rollouts/src/play/strategies.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/strategies.ts
@@ -9,9 +9,17 @@
 
 /** Fixed steps with a judgement at each. */
 export const decideFixedStep: DecideRolloutStep = (situation, limits) => {
-  const { phase, share, judgement, elapsedMs, durationMs, isInService, isQuorate } = situation;
+  const {
+    phase,
+    share,
+    assessment: judgement,
+    elapsedMs,
+    durationMs,
+    isInService,
+    hasQuorum: isQuorate,
+  } = situation;
   const isRising = phase === 'canary' || phase === 'trial';
-  if (!isRising || isInService || judgement.verdict === 'bad' || !isQuorate) {
+  if (!isRising || isInService || judgement.result === 'bad' || !isQuorate) {
     return Decisions.decideRolloutStep(situation, limits);
   }
   const index = Math.floor((elapsedMs / durationMs / STEPS_PART) * STEPS.length);
@@ -24,8 +32,8 @@
 const ENOUGH_ANSWERS = 30;
 
 export const decideSequential: DecideRolloutStep = (situation, limits) => {
-  const { phase, judgement, isInService, isQuorate } = situation;
-  const isEnough = judgement.verdict === 'sound' && judgement.answers >= ENOUGH_ANSWERS;
+  const { phase, assessment: judgement, isInService, hasQuorum: isQuorate } = situation;
+  const isEnough = judgement.result === 'sound' && judgement.answers >= ENOUGH_ANSWERS;
   if (phase === 'canary' && !isInService && isQuorate && isEnough) {
     return { phase: 'moving', share: 1, reason: 'enough sound answers' };
   }
