--- a/packages/sequoiarill-decisions/src/__tests__/latencyAdmission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/latencyAdmission.test.ts
@@ -8,14 +8,14 @@
 
 const ROUTERS = 9;
 const SLOTS = 6;
-const QUEUE = 24;
+const QUEUE_LENGTH = 24;
 const OBJECTIVE_MS = 386;
 const WORK_MS = 86;
-const LENGTH_MS = 60_000;
+const DURATION_MS = 60_000;
 
 interface Caller {
   readonly firstAtMs: number;
-  readonly isReturning: boolean;
+  readonly isRetry: boolean;
 }
 
 interface Running extends Caller {
@@ -31,16 +31,16 @@
 }
 
 /**
- * One target of six slots with a queue, before which routers stand that see only their own requests.
- * Callers that were refused come back once. `load`: arriving work as a part of what the slots do.
+ * Simulates one target with six slots and a queue, behind routers that see only their own requests.
+ * Refused callers retry once. `load`: arriving work as a fraction of the capacity of the slots.
  */
-function playService(load: number, hasDoor: boolean, workFactor = 1): Outcome {
+function simulateService(load: number, hasAdmission: boolean, workFactor = 1): Outcome {
   const nextRandom = Random.createRandom(7);
-  const doors: LatencyAdmission[] = Array.from({ length: ROUTERS }, () =>
+  const admissions: LatencyAdmission[] = Array.from({ length: ROUTERS }, () =>
     LatencyAdmissions.createLatencyAdmission({ nextRandom }),
   );
   const outcome: Outcome = { onTime: 0, late: 0, refused: 0 };
-  const back: { readonly atMs: number; readonly caller: Caller }[] = [];
+  const retries: { readonly atMs: number; readonly caller: Caller }[] = [];
   let running: readonly Running[] = [];
   let queue: readonly Omit<Running, 'endsAtMs'>[] = [];
   const perMs = (load * SLOTS) / WORK_MS;
@@ -56,22 +56,22 @@
   }
 
   function refuse(caller: Caller, nowMs: number, seconds: number): void {
-    if (caller.isReturning) outcome.refused += 1;
-    else back.push({ atMs: nowMs + seconds * 1_000, caller: { ...caller, isReturning: true } });
+    if (caller.isRetry) outcome.refused += 1;
+    else retries.push({ atMs: nowMs + seconds * 1_000, caller: { ...caller, isRetry: true } });
   }
 
   function handleArrival(caller: Caller, nowMs: number): void {
     const router = Math.floor(nextRandom() * ROUTERS);
-    const admission = doors[router] as LatencyAdmission;
-    const { isReturning } = caller;
+    const admission = admissions[router] as LatencyAdmission;
+    const { isRetry: isClientRetry } = caller;
     const decision = admission.decide({
       slots: SLOTS,
       routers: ROUTERS,
-      isClientRetry: isReturning,
+      isClientRetry,
     });
-    if (hasDoor && decision.kind === 'refuse') {
+    if (hasAdmission && decision.kind === 'refuse') {
       refuse(caller, nowMs, decision.retryAfterSeconds);
-    } else if (queue.length >= QUEUE) {
+    } else if (queue.length >= QUEUE_LENGTH) {
       refuse(caller, nowMs, 0.3);
     } else {
       admission.recordStart();
@@ -84,51 +84,51 @@
       ({ endsAtMs }) => endsAtMs <= nowMs,
     )) {
       const latencyMs = nowMs - arrivedAtMs;
-      doors[router]?.recordEnd(nowMs, { latencyMs, objectiveMs: OBJECTIVE_MS });
+      admissions[router]?.recordEnd(nowMs, { latencyMs, objectiveMs: OBJECTIVE_MS });
       if (nowMs - firstAtMs <= OBJECTIVE_MS) outcome.onTime += 1;
       else outcome.late += 1;
     }
     running = running.filter(({ endsAtMs }) => endsAtMs > nowMs);
   }
 
-  for (let nowMs = 0; nowMs < LENGTH_MS; nowMs += 1) {
+  for (let nowMs = 0; nowMs < DURATION_MS; nowMs += 1) {
     handleEnds(nowMs);
-    for (const one of back.filter(({ atMs }) => Math.ceil(atMs) === nowMs)) {
+    for (const one of retries.filter(({ atMs }) => Math.ceil(atMs) === nowMs)) {
       handleArrival(one.caller, nowMs);
     }
     const wave = 1 + 0.15 * Math.sin((2 * Math.PI * nowMs) / 11_000);
-    if (nextRandom() < perMs * wave) handleArrival({ firstAtMs: nowMs, isReturning: false }, nowMs);
+    if (nextRandom() < perMs * wave) handleArrival({ firstAtMs: nowMs, isRetry: false }, nowMs);
     startNext(nowMs);
   }
   return outcome;
 }
 
-/** An answer on time is worth one, a late one 0.3. */
-function computeWorth({ onTime, late, refused }: Outcome): number {
+/** Mean score of a request: 1 for an answer on time, 0.3 for a late one, 0 for a refusal. */
+function computeScore({ onTime, late, refused }: Outcome): number {
   return (onTime + late * 0.3) / (onTime + late + refused);
 }
 
-describe('the door before a plain service', () => {
+describe('latencyAdmission', () => {
   it('keeps most answers on time when the last target runs at its capacity', () => {
-    // Two of three targets of a service are taken away. The last one can just do the work, and in each
-    // wave of it the queue fills: without a door most callers wait half a second, all served late.
+    // Two of three targets of a service are removed. The last one barely has the capacity, and its queue
+    // fills at each peak of the load: without admission control most answers take half a second and are late.
     for (const load of [1.05, 1.15, 1.3]) {
-      const without = computeWorth(playService(load, false));
-      const withDoor = computeWorth(playService(load, true));
-      expect(withDoor).toBeGreaterThan(without + 0.1);
+      const withoutAdmission = computeScore(simulateService(load, false));
+      const withAdmission = computeScore(simulateService(load, true));
+      expect(withAdmission).toBeGreaterThan(withoutAdmission + 0.1);
     }
   });
 
-  it('costs nothing below capacity', () => {
+  it('does not lower the score below capacity', () => {
     for (const load of [0.6, 0.8, 0.9]) {
-      const without = computeWorth(playService(load, false));
-      const withDoor = computeWorth(playService(load, true));
-      expect(withDoor).toBeGreaterThan(without - 0.01);
+      const withoutAdmission = computeScore(simulateService(load, false));
+      const withAdmission = computeScore(simulateService(load, true));
+      expect(withAdmission).toBeGreaterThan(withoutAdmission - 0.01);
     }
   });
 
-  it('refuses nothing while slots are free, also from a slow target', () => {
-    // A target works four times as long. Its answers are late, and refusing would not make it faster.
-    expect(playService(0.1, true, 4).refused).toEqual(0);
+  it('refuses nothing while slots are free, even if the target is slow', () => {
+    // A target takes four times as long. Its answers are late, but refusing requests doesn't make it faster.
+    expect(simulateService(0.1, true, 4).refused).toEqual(0);
   });
 });
--- a/packages/sequoiarill-decisions/src/heap.ts
+++ b/packages/sequoiarill-decisions/src/heap.ts
@@ -1,8 +1,8 @@
-/** A binary heap: the least value first, logarithmic in what it holds. */
+/** A binary min-heap; adding and taking a value cost logarithmic time. */
 
 export interface Heap<Value> {
   readonly addValue: (value: Value) => void;
-  /** The least, left where it is. */
+  /** Returns the value with the lowest rank without removing it. */
   readonly getFirst: () => Value | undefined;
   readonly takeFirst: () => Value | undefined;
   readonly getSize: () => number;
@@ -16,9 +16,9 @@
   }
 
   function applySwap(left: number, right: number): void {
-    const kept = values[left] as Value;
+    const swapped = values[left] as Value;
     values[left] = values[right] as Value;
-    values[right] = kept;
+    values[right] = swapped;
   }
 
   function addValue(value: Value): void {
--- a/packages/sequoiarill-decisions/src/index.ts
+++ b/packages/sequoiarill-decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions under load: pure, without network or clock. */
+/** Load-management decisions: pure functions and state machines without network or clock. */
 export * from './admission';
 export type * from './admissionTypes';
 export * from './answerDurations';
--- a/packages/sequoiarill-decisions/src/latencyAdmission.ts
+++ b/packages/sequoiarill-decisions/src/latencyAdmission.ts
@@ -1,16 +1,17 @@
 /**
- * Whether a request of a plain service is sent now or refused at once, from how late answers come.
+ * Admission control for plain services: sends a request or refuses it at once, depending on the measured
+ * latency of answers.
  *
- * Load pattern: a service of a few slots a little below or above its capacity, after others of its
- * targets were taken away. Its queue stands full, all answers wait for the whole queue, and nearly all
- * come after their objective; the excess is refused by the full queue in the end anyway. Refused before
- * it is queued, the same excess leaves the others on time. No router sees the queue, so each refuses
- * a share of its own requests, and moves this share with the latency that it measures: up while
- * answers come later than the wanted part of the objective, and down below. Each router does the same from
- * samples of the same queue, so the shares settle near each other without a message.
+ * Load pattern: a service with a few slots runs slightly below or above its capacity after some of its
+ * targets were removed. Its queue stays full, every request waits for the whole queue, and nearly all
+ * answers miss their latency objective; the full queue rejects the excess in the end anyway. Refusing the
+ * same excess before it is queued keeps the other answers on time. No router can see the queue, so each
+ * one refuses a share of its own requests and adjusts that share with a proportional-integral controller:
+ * up while the latency is above its setpoint, down while it is below. All routers sample the same queue,
+ * so their shares converge without coordination.
  *
- * A slow target makes answers late as well, and refusing does not make it faster. So nothing is refused
- * unless the requests in progress, all routers together, are clearly more than the slots.
+ * A slow target makes answers late as well, but refusing requests does not make it faster. Nothing is
+ * therefore refused unless the requests in progress over all routers clearly exceed the slots.
  */
 
 export interface LatencyAdmissionOptions {
@@ -19,11 +20,11 @@
 }
 
 export interface LatencyAdmissionQuery {
-  /** Slots of the targets that can be used now. */
+  /** Slots of the targets that are available now. */
   readonly slots: number;
-  /** Routers that send to them, this one too. */
+  /** Number of routers that send to these targets, including this one. */
   readonly routers: number;
-  /** Its caller has waited before, so that its answer will be late in any case. */
+  /** A client retry: the caller has already waited, so its answer will be late in any case. */
   readonly isClientRetry: boolean;
 }
 
@@ -32,63 +33,73 @@
 
 export interface LatencyAdmission {
   readonly recordStart: () => void;
-  /** A send that was recorded has ended; `latencyMs` only for one that the target answered. */
+  /** Records the end of a request that was started; `answer` is given only if the target answered. */
   readonly recordEnd: (
     nowMs: number,
     answer?: { readonly latencyMs: number; readonly objectiveMs: number },
   ) => void;
-  readonly decide: (question: LatencyAdmissionQuery) => LatencyAdmissionDecision;
+  readonly decide: (query: LatencyAdmissionQuery) => LatencyAdmissionDecision;
 }
 
-/** Wanted latency as a part of the objective: leaves room for the spread of the work itself. */
-const WANTED_PART = 0.55;
-/** Weight of a new latency: the last five or so count. */
-const LATENCY_GAIN = 0.2;
-/** Change of the share for each second and each objective of lateness. */
-const SHARE_GAIN_PER_SECOND = 0.4;
-/** Refused at once for each objective of lateness, beside the share that moves slowly. */
+/** Setpoint of the latency as a fraction of the objective: leaves room for variance of the work itself. */
+const LATENCY_SETPOINT = 0.55;
+/** Weight of a new sample in the moving average: about the last five samples count. */
+const LATENCY_WEIGHT = 0.2;
+/** Change of the refused share per second, for each objective by which the latency misses its setpoint. */
+const INTEGRAL_GAIN_PER_SECOND = 0.4;
+/** Share that is refused immediately for each objective above the setpoint, besides the integral share. */
 const PROPORTIONAL_GAIN = 1;
 /**
- * A caller that comes back can only be served late; in its place one that is new is served on time. So
- * it is let in when the crowd has gone.
+ * Factor on the refusal probability of client retries. A retry can only be answered late, while a new
+ * request in its place can be answered on time; retries are therefore admitted once the overload is over.
  */
-const RETURNING_FACTOR = 8;
-/** Never everything: without answers nothing is learned. */
-const MAX_SHARE = 0.85;
-/** A longer silence counts as this, milliseconds. */
-const MAX_STEP_MS = 400;
-/** Weight of one look at the requests in progress, at each arrival: the last ten count. */
-const IN_PROGRESS_GAIN = 0.1;
+const CLIENT_RETRY_FACTOR = 8;
+/** Some requests are always admitted, because without answers there are no latency samples. */
+const MAX_REFUSED_SHARE = 0.85;
+/** Longest interval between two answers that one integration step counts. */
+const MAX_INTEGRATION_STEP_MS = 400;
+/** Weight of one sample of the requests in progress, taken at each arrival: about the last ten count. */
+const IN_PROGRESS_WEIGHT = 0.1;
 /**
- * In progress for each slot: below it hardly anything waits for long, and a target that is slow but not
- * full must not have its requests refused.
+ * Requests in progress per slot up to which nothing is refused: hardly any request waits long below it,
+ * and requests to a target that is slow but not full must not be refused.
  */
-const BUSY_PER_SLOT = 1.6;
-/** Crowds last for seconds, and callers wait for a third of their time; spread, so that none forms anew. */
-const RETRY_SECONDS = { least: 0.6, most: 1.4 } as const;
+const MAX_IN_PROGRESS_PER_SLOT = 1.6;
+/**
+ * Range of the `Retry-After` time. Overloads last for seconds, and callers wait for about a third of that
+ * time; the times are spread at random so that the retries don't arrive as another burst.
+ */
+const RETRY_AFTER_SECONDS = { least: 0.6, most: 1.4 } as const;
 
 export function createLatencyAdmission({ nextRandom }: LatencyAdmissionOptions): LatencyAdmission {
-  let share = 0;
-  let lateness: number | undefined;
+  let refusedShare = 0;
+  let relativeLatency: number | undefined;
   let inProgress = 0;
   let meanInProgress = 0;
-  let movedAtMs: number | undefined;
+  let updatedAtMs: number | undefined;
 
-  /** Objectives by which answers come later than wanted. */
+  /** Distance of the latency from its setpoint, as a fraction of the objective. */
   function computeError(): number {
-    return (lateness ?? 0) - WANTED_PART;
+    return (relativeLatency ?? 0) - LATENCY_SETPOINT;
   }
 
-  function computeChance(isReturning: boolean): number {
-    const chance = share + Math.max(0, computeError()) * PROPORTIONAL_GAIN;
-    return Math.min(MAX_SHARE, isReturning ? chance * RETURNING_FACTOR : chance);
+  function computeRefusalProbability(isClientRetry: boolean): number {
+    const probability = refusedShare + Math.max(0, computeError()) * PROPORTIONAL_GAIN;
+    return Math.min(
+      MAX_REFUSED_SHARE,
+      isClientRetry ? probability * CLIENT_RETRY_FACTOR : probability,
+    );
   }
 
   function updateShare(nowMs: number): void {
-    const seconds = Math.min(MAX_STEP_MS, Math.max(0, nowMs - (movedAtMs ?? nowMs))) / 1_000;
-    movedAtMs = nowMs;
+    const seconds =
+      Math.min(MAX_INTEGRATION_STEP_MS, Math.max(0, nowMs - (updatedAtMs ?? nowMs))) / 1_000;
+    updatedAtMs = nowMs;
     const error = computeError();
-    share = Math.min(MAX_SHARE, Math.max(0, share + error * SHARE_GAIN_PER_SECOND * seconds));
+    refusedShare = Math.min(
+      MAX_REFUSED_SHARE,
+      Math.max(0, refusedShare + error * INTEGRAL_GAIN_PER_SECOND * seconds),
+    );
   }
 
   return {
@@ -98,15 +109,18 @@
     recordEnd(nowMs, answer) {
       inProgress -= 1;
       if (answer === undefined) return;
-      const late = answer.latencyMs / answer.objectiveMs;
-      lateness = lateness === undefined ? late : lateness + (late - lateness) * LATENCY_GAIN;
+      const sample = answer.latencyMs / answer.objectiveMs;
+      relativeLatency =
+        relativeLatency === undefined
+          ? sample
+          : relativeLatency + (sample - relativeLatency) * LATENCY_WEIGHT;
       updateShare(nowMs);
     },
-    decide({ slots, routers, isClientRetry: isReturning }) {
-      meanInProgress += (inProgress - meanInProgress) * IN_PROGRESS_GAIN;
-      if (meanInProgress * routers <= slots * BUSY_PER_SLOT) return { kind: 'admit' };
-      if (nextRandom() >= computeChance(isReturning)) return { kind: 'admit' };
-      const { least, most } = RETRY_SECONDS;
+    decide({ slots, routers, isClientRetry }) {
+      meanInProgress += (inProgress - meanInProgress) * IN_PROGRESS_WEIGHT;
+      if (meanInProgress * routers <= slots * MAX_IN_PROGRESS_PER_SLOT) return { kind: 'admit' };
+      if (nextRandom() >= computeRefusalProbability(isClientRetry)) return { kind: 'admit' };
+      const { least, most } = RETRY_AFTER_SECONDS;
       return { kind: 'refuse', retryAfterSeconds: least + nextRandom() * (most - least) };
     },
   };
--- a/packages/sequoiarill-decisions/src/modelQueue.ts
+++ b/packages/sequoiarill-decisions/src/modelQueue.ts
@@ -1,8 +1,8 @@
 /**
- * One model's way in: its concurrency limit, its queue and the speed at which work leaves it.
+ * Queue of one model with its concurrency limit and its measured throughput.
  *
- * Load pattern: saturation. Without an estimate of the wait at the door, requests sit in the queue
- * until their deadline and are refused after the caller has waited for nothing.
+ * Load pattern: saturation. Without an estimate of the wait at admission, requests stay in the queue
+ * until their deadline and are refused after the caller has waited in vain.
  */
 import type { ModelQueueState, Ticket } from './admissionTypes';
 import type { ConcurrencyLimit } from './concurrencyLimit';
@@ -10,26 +10,26 @@
 import * as FairQueue from './fairQueue';
 import * as Heap from './heap';
 
-/** Work a second of one running generation until it is measured: 30 ms a token. */
+/** Assumed work per second of one running generation until it is measured: one token in 30 ms. */
 const INITIAL_WORK_PER_SECOND = 33;
-/** Seconds of running time that the measured speed looks back over, for each unit of limit. */
-const SPEED_MEMORY = 0.98;
-/** Waits that the error of the estimate looks back over, as a decay, and its bound. */
-const WAIT_MEMORY = 0.98;
-const MAX_ERROR = 3;
-const PRIORITIES = 10;
+/** Decay of the measured throughput for each completed generation; slower with a higher limit. */
+const SPEED_DECAY = 0.98;
+/** Decay of the measured and expected waits with each wait, and the bound on their ratio. */
+const WAIT_DECAY = 0.98;
+const MAX_WAIT_ERROR_FACTOR = 3;
+const PRIORITY_COUNT = 10;
 
 export interface QueuedTicket extends FairQueue.QueuedWork {
   readonly ticket: Ticket;
   readonly cost: Cost;
-  /** The organisation's, for the order in which work is turned away. */
+  /** Priority of the organisation, which determines the order in which work is shed. */
   readonly shedPriority: number;
 }
 
-export interface LaneWait {
+export interface WaitQuery {
   readonly organisation: string;
   readonly weight: number;
-  /** Of the request itself: a slot has to be freed for it as well. */
+  /** Work of the request itself: a slot has to be freed for it as well. */
   readonly work: number;
 }
 
@@ -40,17 +40,17 @@
   readonly addTicket: (queued: QueuedTicket) => void;
   readonly removeTicket: (queued: QueuedTicket) => void;
   readonly takeTicket: (nowMs: number) => QueuedTicket | undefined;
-  /** Tickets over their deadline, removed. */
+  /** Removes the tickets that are past their deadline and returns them. */
   readonly takeExpired: (nowMs: number) => readonly QueuedTicket[];
   readonly getNextDeadlineMs: () => number | undefined;
   readonly recordStart: () => void;
-  readonly recordEnd: (work: number, ranMs: number) => void;
+  readonly recordEnd: (work: number, runMs: number) => void;
   readonly getRunning: () => number;
   readonly hasRoom: () => boolean;
   readonly getWorkPerSecond: () => number;
-  /** Until a request of this organisation would start, milliseconds. */
-  readonly computeWaitMs: (wait: LaneWait) => number;
-  /** Time to run all that waits of a more important priority, milliseconds. */
+  /** Expected time until a request of this organisation would start, milliseconds. */
+  readonly computeWaitMs: (query: WaitQuery) => number;
+  /** Time to run all queued work of more important priorities, milliseconds. */
   readonly computeBacklogAboveMs: (priority: number) => number;
 }
 
@@ -58,12 +58,12 @@
   const queue = FairQueue.createFairQueue<QueuedTicket>();
   const deadlines = Heap.createHeap<QueuedTicket>((queued) => queued.ticket.deadlineMs);
   const waiting = new Set<QueuedTicket>();
-  const workByPriority = new Array<number>(PRIORITIES).fill(0);
+  const workByPriority = new Array<number>(PRIORITY_COUNT).fill(0);
   let running = 0;
-  let ranSeconds = 1;
+  let runSeconds = 1;
   let waitedMs = 1;
   let expectedMs = 1;
-  let ranWork = INITIAL_WORK_PER_SECOND;
+  let completedWork = INITIAL_WORK_PER_SECOND;
 
   function addTicket(queued: QueuedTicket): void {
     queue.addItem(queued);
@@ -72,7 +72,7 @@
     workByPriority[queued.shedPriority] = (workByPriority[queued.shedPriority] ?? 0) + queued.work;
   }
 
-  function markGone(queued: QueuedTicket): void {
+  function markRemoved(queued: QueuedTicket): void {
     waiting.delete(queued);
     workByPriority[queued.shedPriority] = (workByPriority[queued.shedPriority] ?? 0) - queued.work;
   }
@@ -80,13 +80,13 @@
   function removeTicket(queued: QueuedTicket): void {
     if (!waiting.has(queued)) return;
     queue.removeItem(queued);
-    markGone(queued);
+    markRemoved(queued);
   }
 
   function takeTicket(nowMs: number): QueuedTicket | undefined {
     const queued = queue.takeNext();
     if (queued === undefined) return undefined;
-    markGone(queued);
+    markRemoved(queued);
     recordWait(queued.ticket, nowMs);
     return queued;
   }
@@ -112,28 +112,28 @@
     return expired;
   }
 
-  /** Late ones count with the time at which they were dropped. */
+  /** Expired tickets count with the time until they were dropped. */
   function recordWait(ticket: Ticket, nowMs: number): void {
-    waitedMs = waitedMs * WAIT_MEMORY + (nowMs - ticket.queuedAtMs);
-    expectedMs = expectedMs * WAIT_MEMORY + ticket.expectedWaitMs;
+    waitedMs = waitedMs * WAIT_DECAY + (nowMs - ticket.queuedAtMs);
+    expectedMs = expectedMs * WAIT_DECAY + ticket.expectedWaitMs;
   }
 
-  function recordEnd(work: number, ranMs: number): void {
+  function recordEnd(work: number, runMs: number): void {
     running -= 1;
-    const memory = SPEED_MEMORY ** (1 / Math.max(1, limit.getLimit() / PRIORITIES));
-    ranSeconds = ranSeconds * memory + ranMs / 1000;
-    ranWork = ranWork * memory + work;
+    const decay = SPEED_DECAY ** (1 / Math.max(1, limit.getLimit() / PRIORITY_COUNT));
+    runSeconds = runSeconds * decay + runMs / 1000;
+    completedWork = completedWork * decay + work;
   }
 
   function getWorkPerSecond(): number {
-    const speed = ranWork / Math.max(ranSeconds, 1e-3);
+    const speed = completedWork / Math.max(runSeconds, 1e-3);
     return Math.max(1, speed * limit.getLimit());
   }
 
-  function computeWaitMs(wait: LaneWait): number {
-    const workBefore = queue.computeWorkBefore(wait.organisation, wait.weight);
-    const error = Math.min(MAX_ERROR, Math.max(1, waitedMs / expectedMs));
-    return ((workBefore + wait.work) / getWorkPerSecond()) * 1000 * error;
+  function computeWaitMs(query: WaitQuery): number {
+    const workBefore = queue.computeWorkBefore(query.organisation, query.weight);
+    const errorFactor = Math.min(MAX_WAIT_ERROR_FACTOR, Math.max(1, waitedMs / expectedMs));
+    return ((workBefore + query.work) / getWorkPerSecond()) * 1000 * errorFactor;
   }
 
   function computeBacklogAboveMs(priority: number): number {
--- a/packages/sequoiarill-decisions/src/modelQueueSet.ts
+++ b/packages/sequoiarill-decisions/src/modelQueueSet.ts
@@ -1,11 +1,11 @@
-/** The lanes of a router, one for each model, made when a model is first asked for. */
+/** The model queues of a router, each created when its model is first requested. */
 import type { ConcurrencyLimit } from './concurrencyLimit';
 import * as ModelQueues from './modelQueue';
 
 export interface ModelQueueSet {
   readonly getModelQueue: (model: string) => ModelQueues.ModelQueue;
   readonly listModelQueues: () => readonly ModelQueues.ModelQueue[];
-  /** Over all lanes; nothing when nobody waits. */
+  /** Earliest deadline over all model queues; undefined when no request is queued. */
   readonly getNextDeadlineMs: () => number | undefined;
 }
 
@@ -14,12 +14,12 @@
 ): ModelQueueSet {
   const modelQueues = new Map<string, ModelQueues.ModelQueue>();
 
-  function getLane(model: string): ModelQueues.ModelQueue {
-    const known = modelQueues.get(model);
-    if (known !== undefined) return known;
-    const created = ModelQueues.createModelQueue(model, createLimit(model));
-    modelQueues.set(model, created);
-    return created;
+  function getModelQueue(model: string): ModelQueues.ModelQueue {
+    const existing = modelQueues.get(model);
+    if (existing !== undefined) return existing;
+    const modelQueue = ModelQueues.createModelQueue(model, createLimit(model));
+    modelQueues.set(model, modelQueue);
+    return modelQueue;
   }
 
   function getNextDeadlineMs(): number | undefined {
@@ -32,7 +32,7 @@
   }
 
   return {
-    getModelQueue: getLane,
+    getModelQueue,
     getNextDeadlineMs,
     listModelQueues: () => [...modelQueues.values()],
   };
--- a/packages/sequoiarill-decisions/src/outputEstimates.ts
+++ b/packages/sequoiarill-decisions/src/outputEstimates.ts
@@ -1,15 +1,15 @@
 /**
- * Expected output of an organisation's requests to a model, learned from what they gave.
+ * Estimates the output tokens of an organisation's requests to a model from the output of earlier ones.
  *
- * Load pattern: callers that always ask for the largest output and use a tenth of it. Charged by what
- * they ask for, they are refused far below their limit; charged nothing, they overrun it.
+ * Load pattern: callers always request the maximum output and use a tenth of it. Charged for the requested
+ * output, they are refused far below their limit; not charged for output, they exceed it.
  */
 
-/** Weight of the newest output: some thirty requests to follow a change of habit. */
-const WEIGHT = 0.05;
-/** First guess where nothing is known, in tokens: the mean at the size to design for. */
+/** Weight of the newest output: the mean follows a change within about thirty requests. */
+const OUTPUT_WEIGHT = 0.05;
+/** Estimate before any output was recorded: the mean output at the scale of the design. */
 const INITIAL_TOKENS = 500;
-/** 6,500 organisations with three models each; the least recently used are forgotten first. */
+/** Enough for 6,500 organisations with three models each; the least recently updated are evicted. */
 const MAX_ESTIMATES = 20_000;
 
 export interface OutputEstimates {
@@ -33,7 +33,10 @@
     const key = `${organisation}\n${model}`;
     const mean = meanByKey.get(key);
     meanByKey.delete(key);
-    meanByKey.set(key, mean === undefined ? outputTokens : mean + (outputTokens - mean) * WEIGHT);
+    meanByKey.set(
+      key,
+      mean === undefined ? outputTokens : mean + (outputTokens - mean) * OUTPUT_WEIGHT,
+    );
     if (meanByKey.size <= MAX_ESTIMATES) return;
     const oldest = meanByKey.keys().next();
     if (!oldest.done) meanByKey.delete(oldest.value);
--- a/packages/sequoiarill-decisions/src/permits.ts
+++ b/packages/sequoiarill-decisions/src/permits.ts
@@ -1,9 +1,9 @@
 /**
- * The generations that run: what each was charged, and what was learned when it ended.
+ * Permits of running generations: charges each one, and updates the limits and estimates when it ends.
  *
- * Load pattern: callers and targets that fail in every possible order. A permit that is given back
- * twice would raise the concurrency limit for good, one that is never given back would lower it; so a
- * permit is known by identity and its second return does nothing.
+ * Load pattern: callers and targets fail in any order. A permit that is released twice would raise the
+ * concurrency limit permanently, and one that is never released would lower it. Permits are therefore
+ * tracked by object identity, and a second release has no effect.
  */
 import type { AdmissionUse, Permit } from './admissionTypes';
 import type { Cost } from './cost';
@@ -11,7 +11,7 @@
 import type { OrganisationLimiter } from './organisationLimits';
 import type { OutputEstimates } from './outputEstimates';
 
-export interface PermitQuestion {
+export interface PermitInput {
   readonly organisation: string;
   readonly model: string;
   readonly cost: Cost;
@@ -19,7 +19,7 @@
 }
 
 export interface Permits {
-  readonly createPermit: (question: PermitQuestion, nowMs: number) => Permit;
+  readonly createPermit: (input: PermitInput, nowMs: number) => Permit;
   readonly recordFirstToken: (permit: Permit, ms: number, nowMs: number) => void;
   readonly releasePermit: (permit: Permit, use: AdmissionUse, nowMs: number) => void;
 }
@@ -28,21 +28,21 @@
   readonly modelQueues: ModelQueueSet;
   readonly limiter: OrganisationLimiter;
   readonly estimates: OutputEstimates;
-  /** What is judged is waiting at the engine, so the prefill that a prompt needs is taken off. */
+  /** Prefill time is subtracted from the time to the first token to get the wait at the engine. */
   readonly prefillMsPerToken: number;
 }
 
 export function createPermits(options: PermitsOptions): Permits {
   const { modelQueues, limiter, estimates, prefillMsPerToken } = options;
 
-  /** How many ran beside each permit when it was given. */
+  /** Generations of the model that were running when the permit was created, including its own. */
   const inFlightByPermit = new WeakMap<Permit, number>();
 
-  function createPermit(question: PermitQuestion, nowMs: number): Permit {
-    const { organisation, model, cost } = question;
+  function createPermit(input: PermitInput, nowMs: number): Permit {
+    const { organisation, model, cost } = input;
     const modelQueue = modelQueues.getModelQueue(model);
     modelQueue.recordStart();
-    const waitedMs = nowMs - question.queuedAtMs;
+    const waitedMs = nowMs - input.queuedAtMs;
     const permit = { organisation, model, cost, waitedMs, grantedAtMs: nowMs };
     inFlightByPermit.set(permit, modelQueue.getRunning());
     return permit;
--- a/packages/sequoiarill-decisions/src/promptEstimates.ts
+++ b/packages/sequoiarill-decisions/src/promptEstimates.ts
@@ -1,47 +1,47 @@
 /**
- * How long the prompts of a service are, and how fast its engines read them.
+ * Estimates the prompt length of a service and the prefill speed of its engines.
  *
- * Reports of engines count prompts, not tokens. Taken for 8,000 tokens each where they have some tens,
- * two prompts seem to need two seconds: every stream that was not alone was refused for as long as the
- * service had callers.
+ * Engines report the number of queued prompts, not their tokens. If prompts of a few dozen tokens are
+ * assumed to have 8,000, two of them appear to need two seconds, and every stream that is not alone is
+ * refused as long as the service has callers.
  */
 
 export interface PromptEstimates {
-  /** A request came with a prompt of so many tokens. */
+  /** Records the prompt length of a request. */
   readonly recordRequest: (tokens: number) => void;
-  /** A prompt that waited for no other was read in this time. */
+  /** Records the prefill time of a prompt that waited for no other. */
   readonly recordPrefill: (tokens: number, ms: number) => void;
-  /** Tokens of a prompt of which nothing else is known. */
+  /** Expected length of a prompt about which nothing else is known. */
   readonly getMeanTokens: () => number;
   readonly getMsPerToken: () => number;
 }
 
-/** Until some were measured: eight tokens in a millisecond, as large engines read. */
+/** Assumed until it is measured: eight tokens per millisecond, the prefill speed of large engines. */
 const INITIAL_MS_PER_TOKEN = 0.125;
-/** Until a request came: long rather than short, so that the first prompts are spread. */
-const INITIAL_TOKENS = 8_000;
-/** The last twenty prompts count. */
-const GAIN = 0.05;
-/** Short prompts tell more of the way there than of reading. */
-const MIN_TOKENS = 500;
-/** One prompt counts as at most so many times the known time: it met others that no report told of. */
-const MAX_FACTOR = 2;
+/** Assumed until a request arrives: rather too long, so that the first prompts are spread over engines. */
+const INITIAL_MEAN_TOKENS = 8_000;
+/** Weight of a new sample: about the last twenty prompts count. */
+const SAMPLE_WEIGHT = 0.05;
+/** Shorter prompts are not measured: the network latency outweighs their prefill time. */
+const MIN_MEASURED_TOKENS = 500;
+/** Bound on a sample relative to the estimate: a slower prompt had to wait for others not yet reported. */
+const MAX_SAMPLE_FACTOR = 2;
 
 export function createPromptEstimates(): PromptEstimates {
   let msPerToken = INITIAL_MS_PER_TOKEN;
-  let usualTokens: number | undefined;
+  let meanTokens: number | undefined;
   return {
     recordRequest(tokens) {
       if (tokens <= 0) return;
-      usualTokens =
-        usualTokens === undefined ? tokens : usualTokens + (tokens - usualTokens) * GAIN;
+      meanTokens =
+        meanTokens === undefined ? tokens : meanTokens + (tokens - meanTokens) * SAMPLE_WEIGHT;
     },
     recordPrefill(tokens, ms) {
-      if (tokens < MIN_TOKENS) return;
-      const measured = Math.min(ms / tokens, msPerToken * MAX_FACTOR);
-      msPerToken += (measured - msPerToken) * GAIN;
+      if (tokens < MIN_MEASURED_TOKENS) return;
+      const measured = Math.min(ms / tokens, msPerToken * MAX_SAMPLE_FACTOR);
+      msPerToken += (measured - msPerToken) * SAMPLE_WEIGHT;
     },
-    getMeanTokens: () => usualTokens ?? INITIAL_TOKENS,
+    getMeanTokens: () => meanTokens ?? INITIAL_MEAN_TOKENS,
     getMsPerToken: () => msPerToken,
   };
 }
--- a/packages/sequoiarill-decisions/src/queueAdmission.ts
+++ b/packages/sequoiarill-decisions/src/queueAdmission.ts
@@ -1,33 +1,33 @@
 /**
- * The decision at the door of one model's queue: in with a deadline, or away at once.
+ * Admission decision of one model's queue: queues a request with a deadline or refuses it at once.
  *
- * Load pattern: saturation. Whoever can't start in time is told so now, when trying elsewhere or
- * later still helps, and not when its patience has run out.
+ * Load pattern: saturation. A caller whose request can't start in time is refused immediately, while
+ * trying elsewhere or later still helps, and not after its timeout.
  */
 import type { AdmissionRequest, Ticket } from './admissionTypes';
 import type { Cost } from './cost';
 import type { ModelQueue, QueuedTicket } from './modelQueue';
 
-/** The estimate errs; a ticket may wait this much longer than the bound before it is dropped. */
-const DEADLINE_SLACK = 1.75;
-/** More important work that waits this long turns less important work away, milliseconds. */
-const BROWN_OUT_MS = 100;
+/** The estimated wait is inexact; a ticket may wait longer than the bound by this factor. */
+const DEADLINE_SLACK_FACTOR = 1.75;
+/** Less important work is refused while the backlog of more important work exceeds this time. */
+const BROWNOUT_MS = 100;
 const MAX_PRIORITY = 9;
 
-export interface DoorBounds {
+export interface QueueAdmissionBounds {
   readonly maxWaitMs: number;
   readonly maxLength: number;
 }
 
-export interface DoorAccepted {
+export interface QueueAdmissionAccepted {
   readonly kind: 'accept';
   readonly waitMs: number;
   readonly maxWaitMs: number;
-  /** Dropped to make room: the newest of the organisation that holds most of a full queue. */
+  /** Dropped to make room: the last ticket of the organisation that takes up most of a full queue. */
   readonly victim?: QueuedTicket;
 }
 
-export interface DoorRefused {
+export interface QueueAdmissionRefused {
   readonly kind: 'refuse';
   readonly waitMs: number;
   readonly message: string;
@@ -37,13 +37,13 @@
   modelQueue: ModelQueue,
   request: AdmissionRequest,
   cost: Cost,
-  bounds: DoorBounds,
-): DoorAccepted | DoorRefused {
+  bounds: QueueAdmissionBounds,
+): QueueAdmissionAccepted | QueueAdmissionRefused {
   const { organisation, model } = request;
-  const aboveMs = modelQueue.computeBacklogAboveMs(computeShedPriority(request));
-  if (aboveMs > BROWN_OUT_MS) {
+  const backlogAboveMs = modelQueue.computeBacklogAboveMs(computeShedPriority(request));
+  if (backlogAboveMs > BROWNOUT_MS) {
     const message = `overloaded: more important work waits for model ${model}`;
-    return { kind: 'refuse', waitMs: aboveMs, message };
+    return { kind: 'refuse', waitMs: backlogAboveMs, message };
   }
   const waitMs = modelQueue.computeWaitMs({
     organisation: organisation.name,
@@ -68,7 +68,7 @@
 
 export function createQueuedTicket(
   request: AdmissionRequest,
-  accepted: DoorAccepted,
+  accepted: QueueAdmissionAccepted,
   cost: Cost,
   nowMs: number,
 ): QueuedTicket {
@@ -79,7 +79,7 @@
     model: request.model,
     queuedAtMs: nowMs,
     expectedWaitMs: accepted.waitMs,
-    deadlineMs: nowMs + accepted.maxWaitMs * DEADLINE_SLACK,
+    deadlineMs: nowMs + accepted.maxWaitMs * DEADLINE_SLACK_FACTOR,
   };
   return {
     ticket,
--- a/packages/sequoiarill-decisions/src/streamAdmission.ts
+++ b/packages/sequoiarill-decisions/src/streamAdmission.ts
@@ -1,35 +1,35 @@
 /**
- * Whether a new stream is sent to the engine that was chosen for it.
+ * Admission control for streams: decides whether a new stream is sent to the engine chosen for it.
  *
- * Load pattern: prompts come faster than engines read them, after a crash of a zone or because there are
- * too few engines. All prompts queue, most first events are late, and each late stream still slows
- * those beside it, until nothing ends on time. So a stream whose first event would be late even at the
- * best of the engines that were asked is refused at once, and those that are taken end in time. Its
- * caller is told to come back when the prompts before it will have been read.
+ * Load pattern: prompts arrive faster than the engines prefill them, after the crash of a zone or because
+ * there are too few engines. All prompts queue, most first events are late, and each late stream still
+ * slows the others on its engine, until no stream ends on time. So a stream whose first event would be late
+ * even at the best of the queried engines is refused at once, and admitted streams end on time. The
+ * caller is asked to retry when the prompts ahead will have been prefilled.
  */
 
 import type { LatencyAdmissionDecision } from './latencyAdmission';
 
 export interface StreamAdmissionQuery {
-  /** Prompts that are read before at the best engine that was asked. */
+  /** Prompts that are prefilled first at the best of the queried engines. */
   readonly promptsAhead: number;
-  /** Expected wait for the first event at the best engine, milliseconds. */
+  /** Expected time to the first event at that engine, milliseconds. */
   readonly firstEventMs: number;
-  /** Wait within which a first event is on time, milliseconds. */
+  /** Time within which a first event is on time, milliseconds. */
   readonly objectiveMs: number;
 }
 
 /**
- * Part of the objective; the rest is for prompts that the report did not tell yet, and for those that come
- * beside the stream later.
+ * Share of the objective up to which streams are admitted; the rest is for prompts missing from the last
+ * report and for those that arrive at the engine later.
  */
-const EXPECTED_PART = 0.6;
+const MAX_OBJECTIVE_SHARE = 0.6;
 const MS_PER_SECOND = 1_000;
 
-export function decideStreamAdmission(question: StreamAdmissionQuery): LatencyAdmissionDecision {
-  const { promptsAhead, firstEventMs, objectiveMs } = question;
+export function decideStreamAdmission(query: StreamAdmissionQuery): LatencyAdmissionDecision {
+  const { promptsAhead, firstEventMs, objectiveMs } = query;
   if (promptsAhead === 0) return { kind: 'admit' };
-  const excessMs = firstEventMs - objectiveMs * EXPECTED_PART;
+  const excessMs = firstEventMs - objectiveMs * MAX_OBJECTIVE_SHARE;
   if (excessMs <= 0) return { kind: 'admit' };
   return { kind: 'refuse', retryAfterSeconds: excessMs / MS_PER_SECOND };
 }
