--- a/packages/sequoiarill-decisions/src/__tests__/organisationLimits.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/organisationLimits.test.ts
@@ -7,17 +7,17 @@
 
 const LIMITS = { tokensPerSecond: 1_000, concurrentRequests: 100 };
 
-function buildQuestion(nowMs: number, tokens: number, share = 1) {
+function buildQuery(nowMs: number, tokens: number, share = 1) {
   return { organisation: 'shop', limits: LIMITS, share, tokens, nowMs };
 }
 
 describe('organisationLimits', () => {
-  it('lets through its tokens a second and what was saved up, no more', () => {
-    // A shop sends twice its limit for a minute. It gets its limit and a burst of five seconds.
+  it('admits the tokens per second plus the burst, but no more', () => {
+    // A shop sends twice its limit for a minute. It gets its limit plus a burst of five seconds.
     const limiter = OrganisationLimits.createOrganisationLimiter();
     let served = 0;
     for (let step = 0; step < 600; step += 1) {
-      if (limiter.reserveUse(buildQuestion(step * 100, 200)).kind === 'within') {
+      if (limiter.reserveUse(buildQuery(step * 100, 200)).kind === 'within') {
         served += 200;
         limiter.releaseUse('shop', 200, 200);
       }
@@ -26,10 +26,10 @@
     expect(served >= 60_000).toEqual(true);
   });
 
-  it('uses the part of the limit that this router has', () => {
+  it('applies the share of the limit that this router has', () => {
     const limiter = OrganisationLimits.createOrganisationLimiter();
-    expect(limiter.reserveUse(buildQuestion(0, 500, 0.1)).kind).toEqual('within');
-    const over = limiter.reserveUse(buildQuestion(0, 200, 0.1));
+    expect(limiter.reserveUse(buildQuery(0, 500, 0.1)).kind).toEqual('within');
+    const over = limiter.reserveUse(buildQuery(0, 200, 0.1));
     expect(over).toLooseEqual({
       kind: 'over',
       retryAfterSeconds: 2,
@@ -37,28 +37,28 @@
     });
   });
 
-  it('runs a request larger than the whole budget once the budget is full', () => {
-    // A contract of 60,000 tokens at 1,000 tokens a second can never be saved up for in five seconds.
-    // It must run, and the organisation pays for it afterwards.
+  it('runs a request larger than the capacity once the budget is full', () => {
+    // A contract of 60,000 tokens never fits into a budget of five seconds at 1,000 tokens a second. The
+    // request must run nevertheless; it makes the balance negative, and later requests wait.
     const limiter = OrganisationLimits.createOrganisationLimiter();
-    expect(limiter.reserveUse(buildQuestion(0, 60_000)).kind).toEqual('within');
-    expect(limiter.reserveUse(buildQuestion(1_000, 10)).kind).toEqual('over');
-    expect(limiter.reserveUse(buildQuestion(56_000, 10)).kind).toEqual('within');
+    expect(limiter.reserveUse(buildQuery(0, 60_000)).kind).toEqual('within');
+    expect(limiter.reserveUse(buildQuery(1_000, 10)).kind).toEqual('over');
+    expect(limiter.reserveUse(buildQuery(56_000, 10)).kind).toEqual('within');
   });
 
-  it('gives back what an answer did not use', () => {
+  it('releases the tokens that an answer did not use', () => {
     const limiter = OrganisationLimits.createOrganisationLimiter();
-    limiter.reserveUse(buildQuestion(0, 5_000));
+    limiter.reserveUse(buildQuery(0, 5_000));
     limiter.releaseUse('shop', 5_000, 1_000);
     expect(limiter.getRunning('shop')).toEqual(0);
-    expect(limiter.reserveUse(buildQuestion(0, 4_000)).kind).toEqual('within');
+    expect(limiter.reserveUse(buildQuery(0, 4_000)).kind).toEqual('within');
   });
 });
 
 describe('retryAfter', () => {
-  it('spreads refused callers over a time that grows with how many are refused', () => {
-    // A thousand callers are refused in one second. Told the same second, they would all come back in
-    // it, be refused again, and do so for as long as they have patience.
+  it('spreads the retries of refused callers over a time that grows with their number', () => {
+    // A thousand callers are refused in one second. With the same Retry-After time for all, they would
+    // all retry in the same second and be refused again, until they time out.
     let turn = 0;
     const retryAfter = RetryAfter.createRetryAfter(() => {
       turn += 1;
@@ -74,7 +74,7 @@
     expect(Math.min(...seconds) >= 1).toEqual(true);
   });
 
-  it('tells a short time when few are refused', () => {
+  it('returns a short time when few are refused', () => {
     const retryAfter = RetryAfter.createRetryAfter(() => 0.99);
     for (let index = 0; index < 100; index += 1) retryAfter.recordAdmitted(index);
     expect(retryAfter.computeSeconds(400, 100)).toEqual(2);
--- a/packages/sequoiarill-decisions/src/organisationLimits.ts
+++ b/packages/sequoiarill-decisions/src/organisationLimits.ts
@@ -1,22 +1,23 @@
 /**
- * An organisation's own limits on this router: tokens a second and requests at once.
+ * Enforces the limits of an organisation on this router: tokens per second (a token bucket) and concurrent
+ * requests.
  *
- * Load pattern: a few organisations that send most of the load. Without limits of their own, the
- * queue is the only thing between them and everybody else. The caller is told 429, with the time
- * until its own budget holds enough, so that it can tell its own limit from the system's.
+ * Load pattern: a few organisations send most of the load. Without limits per organisation, only the queue
+ * protects the others from them. The caller gets status 429 and the time until the organisation's budget
+ * suffices, so that it can distinguish its own limit from an overload of the system.
  */
 import type { OrganisationLimits } from '@sequoiarill/types';
 
-/** Budget that may be saved up, in seconds of the limit: the burst of a page load, not of an hour. */
+/** Capacity of the budget in seconds of the limit: enough for the burst of a page load, not of an hour. */
 const BURST_SECONDS = 5;
-const MAX_RETRY_SECONDS = 60;
-/** Guess of when one of its own running requests ends. */
-const CONCURRENCY_RETRY_SECONDS = 2;
+const MAX_RETRY_AFTER_SECONDS = 60;
+/** Estimated time until one of the organisation's running requests ends. */
+const CONCURRENCY_RETRY_AFTER_SECONDS = 2;
 
-export interface LimitQuestion {
+export interface LimitQuery {
   readonly organisation: string;
   readonly limits: OrganisationLimits;
-  /** Part of the fleet's limit that this router may use, 0 to 1. */
+  /** Share of the fleet-wide limit that this router may use, 0 to 1. */
   readonly share: number;
   readonly tokens: number;
   readonly nowMs: number;
@@ -32,18 +33,18 @@
   readonly message: string;
 }
 
-export type LimitAnswer = WithinLimit | OverLimit;
+export type LimitDecision = WithinLimit | OverLimit;
 
 export interface OrganisationLimiter {
-  /** Charges the tokens and one request when both fit; changes nothing otherwise. */
-  readonly reserveUse: (question: LimitQuestion) => LimitAnswer;
-  /** Gives back the request and corrects the charge to what was used. */
+  /** Charges the tokens and one request if both fit into the limits; otherwise changes nothing. */
+  readonly reserveUse: (query: LimitQuery) => LimitDecision;
+  /** Releases the request and corrects the charge to the tokens that were used. */
   readonly releaseUse: (organisation: string, chargedTokens: number, usedTokens: number) => void;
   readonly getRunning: (organisation: string) => number;
   readonly getSize: () => number;
 }
 
-interface Account {
+interface Budget {
   balance: number;
   capacity: number;
   updatedAtMs: number;
@@ -51,70 +52,70 @@
 }
 
 export function createOrganisationLimiter(): OrganisationLimiter {
-  const accounts = new Map<string, Account>();
+  const budgets = new Map<string, Budget>();
 
-  function updateAccount(question: LimitQuestion): Account {
-    const rate = question.limits.tokensPerSecond * question.share;
+  function updateBudget(query: LimitQuery): Budget {
+    const rate = query.limits.tokensPerSecond * query.share;
     const capacity = Math.max(rate * BURST_SECONDS, 1);
-    const known = accounts.get(question.organisation);
-    if (known === undefined) {
-      const created = { balance: capacity, capacity, updatedAtMs: question.nowMs, running: 0 };
-      accounts.set(question.organisation, created);
-      return created;
+    const existing = budgets.get(query.organisation);
+    if (existing === undefined) {
+      const budget = { balance: capacity, capacity, updatedAtMs: query.nowMs, running: 0 };
+      budgets.set(query.organisation, budget);
+      return budget;
     }
-    const elapsedMs = Math.max(0, question.nowMs - known.updatedAtMs);
-    known.capacity = capacity;
-    known.balance = Math.min(capacity, known.balance + (elapsedMs / 1000) * rate);
-    known.updatedAtMs = question.nowMs;
-    return known;
+    const elapsedMs = Math.max(0, query.nowMs - existing.updatedAtMs);
+    existing.capacity = capacity;
+    existing.balance = Math.min(capacity, existing.balance + (elapsedMs / 1000) * rate);
+    existing.updatedAtMs = query.nowMs;
+    return existing;
   }
 
-  function reserveUse(question: LimitQuestion): LimitAnswer {
-    const account = updateAccount(question);
-    const maxRunning = Math.max(1, Math.round(question.limits.concurrentRequests * question.share));
-    if (account.running >= maxRunning) return refuseConcurrent(question);
-    // A request larger than the whole budget runs once the budget is full, and leaves a debt.
-    const needed = Math.min(question.tokens, account.capacity);
-    if (account.balance < needed) return refuseTokens(question, needed - account.balance);
-    account.balance -= question.tokens;
-    account.running += 1;
+  function reserveUse(query: LimitQuery): LimitDecision {
+    const budget = updateBudget(query);
+    const maxRunning = Math.max(1, Math.round(query.limits.concurrentRequests * query.share));
+    if (budget.running >= maxRunning) return refuseConcurrency(query);
+    // A request larger than the capacity runs once the budget is full and makes the balance negative.
+    const required = Math.min(query.tokens, budget.capacity);
+    if (budget.balance < required) return refuseTokens(query, required - budget.balance);
+    budget.balance -= query.tokens;
+    budget.running += 1;
     return { kind: 'within' };
   }
 
   function releaseUse(organisation: string, chargedTokens: number, usedTokens: number): void {
-    const account = accounts.get(organisation);
-    if (account === undefined) return;
-    account.running = Math.max(0, account.running - 1);
-    const corrected = account.balance + chargedTokens - usedTokens;
-    account.balance = Math.min(account.capacity, Math.max(-account.capacity, corrected));
+    const budget = budgets.get(organisation);
+    if (budget === undefined) return;
+    budget.running = Math.max(0, budget.running - 1);
+    const corrected = budget.balance + chargedTokens - usedTokens;
+    budget.balance = Math.min(budget.capacity, Math.max(-budget.capacity, corrected));
   }
 
   return {
     reserveUse,
     releaseUse,
-    getRunning: (organisation) => accounts.get(organisation)?.running ?? 0,
-    getSize: () => accounts.size,
+    getRunning: (organisation) => budgets.get(organisation)?.running ?? 0,
+    getSize: () => budgets.size,
   };
 }
 
-function refuseConcurrent(question: LimitQuestion): LimitAnswer {
+function refuseConcurrency(query: LimitQuery): LimitDecision {
   return {
     kind: 'over',
-    retryAfterSeconds: CONCURRENCY_RETRY_SECONDS,
+    retryAfterSeconds: CONCURRENCY_RETRY_AFTER_SECONDS,
     message:
-      `organisation ${question.organisation} has its limit of ` +
-      `${question.limits.concurrentRequests} concurrent requests in progress`,
+      `organisation ${query.organisation} has its limit of ` +
+      `${query.limits.concurrentRequests} concurrent requests in progress`,
   };
 }
 
-function refuseTokens(question: LimitQuestion, missing: number): LimitAnswer {
-  const rate = Math.max(1e-9, question.limits.tokensPerSecond * question.share);
-  const seconds = Math.ceil(missing / rate);
+function refuseTokens(query: LimitQuery, missingTokens: number): LimitDecision {
+  const rate = Math.max(1e-9, query.limits.tokensPerSecond * query.share);
+  const seconds = Math.ceil(missingTokens / rate);
   return {
     kind: 'over',
-    retryAfterSeconds: Math.min(MAX_RETRY_SECONDS, Math.max(1, seconds)),
+    retryAfterSeconds: Math.min(MAX_RETRY_AFTER_SECONDS, Math.max(1, seconds)),
     message:
-      `organisation ${question.organisation} has used its limit of ` +
-      `${question.limits.tokensPerSecond} tokens a second`,
+      `organisation ${query.organisation} has used its limit of ` +
+      `${query.limits.tokensPerSecond} tokens a second`,
   };
 }
--- a/packages/sequoiarill-decisions/src/partitionShares.ts
+++ b/packages/sequoiarill-decisions/src/partitionShares.ts
@@ -1,15 +1,16 @@
 /**
- * What part of each organisation's limit this side of a network partition may use.
+ * Computes the share of each organisation's limit that this side of a network partition may use.
  *
- * Load pattern: regions lose each other for minutes while demand rises on both sides. Each side hears
- * only its own rise; without a fixed part for each side both would claim nearly the whole limit. The
- * part is what the reachable routers had reported when the others became unreachable, as a share of
- * what all had; both sides know the same figures, so the parts add up to one but for reports that
- * were under way at the cut. Inside a side, demand moves as ever.
+ * Load pattern: a partition separates regions for minutes while demand rises on both sides. Each side
+ * receives reports only of its own demand; without a fixed share per side, both would claim nearly the
+ * entire limit. The share is the demand that the reachable routers had reported when the others became
+ * unreachable, divided by the demand that all had reported. Both sides know the same figures, so the
+ * shares add up to one except for reports in transit when the partition began. Within a side, the limit
+ * continues to follow the demand.
  */
 
-/** After the partition has healed, until every report was repeated and has arrived. Milliseconds. */
-const HELD_AFTER_MS = 13_000;
+/** Time for which the shares are held after a partition: until each report was repeated and received. */
+const HELD_AFTER_HEAL_MS = 13_000;
 
 export interface SplitDemand {
   readonly organisation: string;
@@ -18,29 +19,29 @@
 }
 
 export interface PartitionShares {
-  /** Each change of what can't be reached, with the demands as split by it. */
+  /** Call at each change of the unreachable routers, with the demand split by that change. */
   readonly setUnreachable: (
     unreachable: ReadonlySet<string>,
     routerCount: number,
     demands: readonly SplitDemand[],
     nowMs: number,
   ) => void;
-  /** 1 while everybody is reachable. */
+  /** Returns 1 while all routers are reachable. */
   readonly getShare: (organisation: string, nowMs: number) => number;
-  /** Routers whose demand does not count on this side. */
+  /** Routers whose demand doesn't count on this side. */
   readonly getUnreachable: (nowMs: number) => ReadonlySet<string>;
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_ROUTERS: ReadonlySet<string> = new Set();
 
 export function createPartitionShares(): PartitionShares {
-  let known = NOBODY;
+  let unreachableRouters = NO_ROUTERS;
   let healedAtMs = Number.NEGATIVE_INFINITY;
-  let usualPart = 1;
-  let parts = new Map<string, number>();
+  let defaultShare = 1;
+  let shares = new Map<string, number>();
 
   function isInForce(nowMs: number): boolean {
-    return known.size > 0 && nowMs - healedAtMs < HELD_AFTER_MS;
+    return unreachableRouters.size > 0 && nowMs - healedAtMs < HELD_AFTER_HEAL_MS;
   }
 
   function setUnreachable(
@@ -53,27 +54,30 @@
       if (healedAtMs === Number.POSITIVE_INFINITY) healedAtMs = nowMs;
       return;
     }
-    const isGrowing = [...unreachable].some((router) => !known.has(router));
-    const isFresh = !isInForce(nowMs);
+    const isGrowing = [...unreachable].some((router) => !unreachableRouters.has(router));
+    const isNewPartition = !isInForce(nowMs);
     healedAtMs = Number.POSITIVE_INFINITY;
-    if (!isGrowing && !isFresh) return;
-    const earlier = isFresh ? new Map<string, number>() : parts;
-    const earlierUsual = isFresh ? 1 : usualPart;
-    const missing = new Set([...(isFresh ? [] : known), ...unreachable]);
-    parts = new Map(
-      demands.map(({ organisation, reachable, unreachable: lost }) => {
-        const whole = earlier.get(organisation) ?? earlierUsual;
-        return [organisation, (whole * reachable) / Math.max(1e-9, reachable + lost)];
+    if (!isGrowing && !isNewPartition) return;
+    const earlierShares = isNewPartition ? new Map<string, number>() : shares;
+    const earlierDefault = isNewPartition ? 1 : defaultShare;
+    const allUnreachable = new Set([...(isNewPartition ? [] : unreachableRouters), ...unreachable]);
+    shares = new Map(
+      demands.map(({ organisation, reachable, unreachable: unreachableDemand }) => {
+        const earlierShare = earlierShares.get(organisation) ?? earlierDefault;
+        return [
+          organisation,
+          (earlierShare * reachable) / Math.max(1e-9, reachable + unreachableDemand),
+        ];
       }),
     );
-    known = missing;
-    usualPart = Math.max(0, routerCount - missing.size) / Math.max(1, routerCount);
+    unreachableRouters = allUnreachable;
+    defaultShare = Math.max(0, routerCount - allUnreachable.size) / Math.max(1, routerCount);
   }
 
   return {
     setUnreachable,
     getShare: (organisation, nowMs) =>
-      isInForce(nowMs) ? (parts.get(organisation) ?? usualPart) : 1,
-    getUnreachable: (nowMs) => (isInForce(nowMs) ? known : NOBODY),
+      isInForce(nowMs) ? (shares.get(organisation) ?? defaultShare) : 1,
+    getUnreachable: (nowMs) => (isInForce(nowMs) ? unreachableRouters : NO_ROUTERS),
   };
 }
--- a/packages/sequoiarill-decisions/src/retryAfter.ts
+++ b/packages/sequoiarill-decisions/src/retryAfter.ts
@@ -1,12 +1,12 @@
 /**
- * When a refused caller may come back.
+ * Computes the `Retry-After` time of refused requests.
  *
- * Load pattern: a retry storm. Told one and the same second, all refused callers return together,
- * are refused again and double with each round. So the time grows with the share that is being
- * refused and is spread at random over its range.
+ * Load pattern: a retry storm. With the same time for all, the refused callers retry together, are refused
+ * again, and their number doubles with each round. The time therefore grows with the share of refused
+ * requests and is chosen at random within its range.
  */
 
-/** Counts halve in this time, milliseconds: a burst of 5 s is still seen when it ends. */
+/** Half-life of the counts: a burst of 5 s still counts when it ends. */
 const HALF_LIFE_MS = 5_000;
 const MIN_SECONDS = 1;
 const MAX_SECONDS = 30;
@@ -14,7 +14,7 @@
 export interface RetryAfter {
   readonly recordAdmitted: (nowMs: number) => void;
   readonly recordRefused: (nowMs: number) => void;
-  /** Whole seconds, from the wait that was expected at the door. */
+  /** Returns whole seconds, computed from the wait that was expected at admission. */
   readonly computeSeconds: (waitMs: number, nowMs: number) => number;
 }
 
@@ -27,17 +27,17 @@
     const elapsedMs = Math.max(0, nowMs - (updatedAtMs ?? nowMs));
     updatedAtMs = nowMs;
     if (elapsedMs === 0) return;
-    const kept = 0.5 ** (elapsedMs / HALF_LIFE_MS);
-    admitted *= kept;
-    refused *= kept;
+    const decay = 0.5 ** (elapsedMs / HALF_LIFE_MS);
+    admitted *= decay;
+    refused *= decay;
   }
 
   function computeSeconds(waitMs: number, nowMs: number): number {
     updateCounts(nowMs);
-    // The refused of the last seconds come back as well; serving them takes this many times longer.
+    // Callers that were refused in the last seconds retry too, so serving all takes this many times longer.
     const pressure = 1 + refused / Math.max(1, admitted);
-    const range = Math.max(1, waitMs / 1000) * pressure * 2;
-    const seconds = MIN_SECONDS + Math.floor(nextRandom() * range);
+    const rangeSeconds = Math.max(1, waitMs / 1000) * pressure * 2;
+    const seconds = MIN_SECONDS + Math.floor(nextRandom() * rangeSeconds);
     return Math.min(MAX_SECONDS, seconds);
   }
 
--- a/packages/sequoiarill-decisions/src/retryBudget.ts
+++ b/packages/sequoiarill-decisions/src/retryBudget.ts
@@ -1,10 +1,10 @@
 /**
- * Bounds what retries and continuations may add to the load.
+ * Retry budget: bounds the load that retries and continuations may add.
  *
- * Load pattern: many failures at once. Without a bound each failed attempt is tried again by every
- * router, the load of a fleet that lost a third rises instead of falling, and the survivors fail
- * too. Retries are a share of the requests, plus a little each second so that a quiet router can
- * still repair one request, plus a burst for a single lost target.
+ * Load pattern: many failures at once. Without a bound every router retries each failed attempt, the load
+ * on a fleet that lost a third of its targets rises instead of falling, and the remaining targets fail
+ * too. The budget is a share of the requests, plus a minimum rate so that a router with little load can
+ * still retry a request, plus a burst that covers the loss of a single target.
  */
 
 export interface RetryBudgetOptions {
@@ -12,13 +12,13 @@
   readonly ratio: number;
   /** Retries earned each second without any request. */
   readonly minPerSecond: number;
-  /** Retries that may be saved up. */
+  /** Maximum number of accumulated retries. */
   readonly burst: number;
 }
 
 export interface RetryBudget {
   readonly recordRequest: (nowMs: number) => void;
-  /** Spends one retry; false when none is left and the attempt must end. */
+  /** Takes one retry from the budget; returns false if none is left and the request must not be retried. */
   readonly takeRetry: (nowMs: number) => boolean;
   readonly getBalance: (nowMs: number) => number;
 }
