--- a/packages/sequoiarill-decisions/src/__tests__/targetChooser.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/targetChooser.test.ts
@@ -45,7 +45,7 @@
 }
 
 describe('targetChooser', () => {
-  it('never chooses a dead, leaving or excluded target while another is left', () => {
+  it('never chooses a dead, leaving or excluded target while another is available', () => {
     const chooser = TargetChooser.createTargetChooser({ nextRandom: createRandom(1) });
     const candidates = [
       buildView('dead', { state: 'dead' }),
@@ -59,7 +59,7 @@
     }
   });
 
-  it('says why and when to come back when no target is usable', () => {
+  it('returns a reason and a retry time when no target is usable', () => {
     const chooser = TargetChooser.createTargetChooser({ nextRandom: createRandom(1) });
     const choice = chooser.chooseTarget(buildRequest([buildView('a', { state: 'dead' })]));
     expect(choice).toLooseEqual({
@@ -69,7 +69,7 @@
     });
   });
 
-  it('stays in its zone until that zone queues, then leaves it', () => {
+  it('prefers the local zone until its targets queue, then uses another', () => {
     const chooser = TargetChooser.createTargetChooser({ nextRandom: createRandom(2) });
     const quiet = [buildView('near', { inFlight: 8 }), buildView('far', { zone: 'z2' })];
     expect(getName(chooser.chooseTarget(buildRequest(quiet)))).toEqual('near');
@@ -78,8 +78,8 @@
   });
 
   it('corrects a stale report by what was sent since', () => {
-    // Two targets reported two seconds ago, one of them idle. This router has sent it forty prompts
-    // since; by the report alone it would go on sending and bury it.
+    // Two targets reported two seconds ago, one of them idle. This router has sent that one forty prompts
+    // since; by the report alone it would send more and overload it.
     const chooser = TargetChooser.createTargetChooser({ nextRandom: createRandom(3) });
     const report = { reportedWaiting: 0, reportAgeMs: 2_000 };
     const candidates = [
@@ -89,9 +89,9 @@
     expect(getName(chooser.chooseTarget(buildRequest(candidates)))).toEqual('half');
   });
 
-  it('returns to the target that has the prefix, and leaves it when it queues', () => {
-    // All shoppers of one shop share a long instruction. Its prefill is saved by going back to the
-    // same target, until that target has no slot left and waiting costs more than prefilling.
+  it('chooses the target that cached the prefix until that target queues', () => {
+    // All prompts of one shop share a long instruction. Choosing the same target again saves its prefill,
+    // until that target has no free slot and waiting costs more than prefilling.
     const chooser = TargetChooser.createTargetChooser({ nextRandom: createRandom(4) });
     const names = Array.from({ length: 40 }, (_value, index) => `t${index}`);
     const idle = names.map((name) => buildView(name));
--- a/packages/sequoiarill-decisions/src/__tests__/targetSet.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/targetSet.test.ts
@@ -37,24 +37,24 @@
     expect(new Set(counts)).toEqual(new Set([23]));
   });
 
-  it('keeps the sets of all routers near their size', () => {
+  it('keeps the sets of all routers near the configured size', () => {
     const sizes = [...listSets(ROUTERS, TARGETS).values()].map((set) => set.length);
     expect(Math.min(...sizes) > SIZE / 2).toEqual(true);
     expect(Math.max(...sizes) < SIZE * 1.6).toEqual(true);
   });
 
-  it('changes few pairs when a router goes', () => {
+  it('changes few pairs when a router is removed', () => {
     const before = listSets(ROUTERS, TARGETS);
-    const left = ROUTERS.slice(1);
-    const after = listSets(left, TARGETS);
-    const moved = left.reduce((sum, router) => {
-      const known = new Set(before.get(router));
-      return sum + (after.get(router) ?? []).filter((target) => !known.has(target)).length;
+    const remaining = ROUTERS.slice(1);
+    const after = listSets(remaining, TARGETS);
+    const moved = remaining.reduce((sum, router) => {
+      const previous = new Set(before.get(router));
+      return sum + (after.get(router) ?? []).filter((target) => !previous.has(target)).length;
     }, 0);
     expect(moved <= (before.get(ROUTERS[0] ?? '')?.length ?? 0)).toEqual(true);
   });
 
-  it('takes all targets where they are few, and ranks for itself without peers', () => {
+  it('selects all targets if there are few, and ranks alone without peers', () => {
     const set = TargetSet.createTargetSet({ routerName: 'router-1', size: SIZE });
     expect(set.selectTargets(TARGETS.slice(0, 25), ROUTERS).length).toEqual(25);
     expect(set.selectTargets(TARGETS).length).toEqual(SIZE);
--- a/packages/sequoiarill-decisions/src/prefixAffinity.ts
+++ b/packages/sequoiarill-decisions/src/prefixAffinity.ts
@@ -1,29 +1,29 @@
 /**
- * Remembers which targets were sent which prompt prefixes.
+ * Prefix affinity: tracks which prompt prefixes were sent to which targets.
  *
- * Load pattern: a few prompts that take most of the load. Without it each target prefills the same
- * long prefix again and its limited cache is filled with copies. Targets publish their cache late
- * and with gaps, so this goes by what this router sent, forgets it after a while, and is only a
- * discount on the expected wait: a hot prefix spills over to idle targets by itself.
+ * Load pattern: a few prompts make up most of the load. Without affinity each target prefills the same
+ * long prefix again, and copies of it fill its limited cache. Targets publish their cache contents late
+ * and incompletely, so this relies on what this router sent and expires it after a time. Affinity only
+ * reduces the expected wait, so that a hot prefix still spills over to idle targets.
  */
 import * as RendezvousHashing from './rendezvousHashing';
 
-/** Engines evict by age; minutes-old prefixes are usually gone. Milliseconds. */
-const MEMORY_MS = 120_000;
-/** More copies than this are not worth looking up. */
+/** Engines evict the oldest prefixes, usually within minutes. */
+const HOLDER_TTL_MS = 120_000;
+/** Holders that are tracked for each prefix; more are not worth the lookup. */
 const MAX_HOLDERS = 3;
 const MAX_PREFIXES = 20_000;
 
 export interface PrefixHolder {
   readonly name: string;
-  /** Where it was among the candidates last time: saves a search while the list is unchanged. */
+  /** Last index among the candidates: avoids a search while the list is unchanged. */
   readonly indexHint: number;
   readonly usedAtMs: number;
 }
 
 export interface PrefixMatch {
   readonly holder: PrefixHolder;
-  /** 0 to 1: part of the prompt's prefixes that the holder had. */
+  /** Share of the prompt's prefixes that the holder was sent, 0 to 1. */
   readonly cachedShare: number;
 }
 
@@ -46,9 +46,9 @@
     for (const [position, key] of prefixKeys.entries()) {
       const cachedShare = (prefixKeys.length - position) / prefixKeys.length;
       for (const holder of holdersByKey.get(key) ?? []) {
-        const isFresh = nowMs - holder.usedAtMs <= MEMORY_MS;
-        const isKnown = matches.some((match) => match.holder.name === holder.name);
-        if (isFresh && !isKnown) matches.push({ holder, cachedShare });
+        const isFresh = nowMs - holder.usedAtMs <= HOLDER_TTL_MS;
+        const isListed = matches.some((match) => match.holder.name === holder.name);
+        if (isFresh && !isListed) matches.push({ holder, cachedShare });
       }
       if (matches.length >= MAX_HOLDERS) break;
     }
@@ -63,7 +63,7 @@
   ): void {
     const holder = { name, indexHint, usedAtMs: nowMs };
     for (const key of prefixKeys) {
-      const others = (holdersByKey.get(key) ?? []).filter((known) => known.name !== name);
+      const others = (holdersByKey.get(key) ?? []).filter((other) => other.name !== name);
       holdersByKey.delete(key);
       holdersByKey.set(key, [holder, ...others.slice(0, MAX_HOLDERS - 1)]);
     }
@@ -78,8 +78,9 @@
 }
 
 /**
- * The target that all routers send a prefix to which none of them has seen: the highest rank in
- * rendezvous hashing. Without it 32 routers of a zone would make up to 32 copies of each prefix.
+ * Returns the index of the preferred target for a prefix that no router has sent yet: the one with the
+ * highest rank in rendezvous hashing, which is the same on all routers. Otherwise 32 routers of a zone
+ * would create up to 32 copies of each prefix.
  */
 export function choosePreferredTarget(prefixKey: string, names: readonly string[]): number {
   const digest = RendezvousHashing.hashName(prefixKey);
--- a/packages/sequoiarill-decisions/src/rendezvousHashing.ts
+++ b/packages/sequoiarill-decisions/src/rendezvousHashing.ts
@@ -1,24 +1,24 @@
 /**
- * Stable digests of names, so that every router ranks targets alike without talking. Needed
- * synchronously in the middle of a decision, hence node:crypto once for each name and integer mixing
- * for pairs of names, instead of one digest for each pair.
+ * Rendezvous hashing: stable digests of names, so that all routers compute the same ranking without
+ * communicating. Decisions need the ranks synchronously, so node:crypto hashes each name once and pairs
+ * of names are combined by integer mixing instead of hashing each pair.
  */
-/* eslint-disable no-bitwise -- integer mixing is made of bit operations */
+/* eslint-disable no-bitwise -- integer mixing consists of bit operations */
 import { createHash } from 'node:crypto';
 
 /** Multipliers of the 32-bit finalizer published with MurmurHash3. */
 const MIX_1 = 0x85ebca6b;
 const MIX_2 = 0xc2b2ae35;
 
-/** Names come from configuration and prompts; beyond this many the oldest digest is computed anew. */
+/** Names come from configuration and prompts; above this count the oldest digest is evicted. */
 const MAX_CACHED_NAMES = 20_000;
 
 const digestsByName = new Map<string, number>();
 
-/** The first 32 bits of SHA-1 of a name; not a secret, only well spread. */
+/** Returns the first 32 bits of the SHA-1 digest of a name, for even distribution and not for secrecy. */
 export function hashName(name: string): number {
-  const known = digestsByName.get(name);
-  if (known !== undefined) return known;
+  const cached = digestsByName.get(name);
+  if (cached !== undefined) return cached;
   const digest = createHash('sha1').update(name).digest().readUInt32LE(0);
   if (digestsByName.size >= MAX_CACHED_NAMES) {
     const oldest = digestsByName.keys().next();
@@ -28,7 +28,7 @@
   return digest;
 }
 
-/** Names by their rank for a key, the same on every router; those for another key are in another order. */
+/** Sorts names by their rank for a key. The order is the same on every router and differs between keys. */
 export function sortByRank(names: readonly string[], key: string): readonly string[] {
   const digest = hashName(key);
   return names
@@ -37,7 +37,7 @@
     .map(({ name }) => name);
 }
 
-/** Rank of a pair of digests for rendezvous hashing: the highest wins. Unsigned 32 bits. */
+/** Rank of a pair of digests as an unsigned 32-bit integer: the highest rank wins. */
 export function hashPair(left: number, right: number): number {
   let mixed = Math.imul(left ^ Math.imul(right ^ (right >>> 15), MIX_1), MIX_2);
   mixed = Math.imul(mixed ^ (mixed >>> 16), MIX_1);
--- a/packages/sequoiarill-decisions/src/targetChoiceTypes.ts
+++ b/packages/sequoiarill-decisions/src/targetChoiceTypes.ts
@@ -1,26 +1,26 @@
-/** What a choice of target is made from, and what comes out of it. */
+/** Types of the choice of a target: the input and the result. */
 
 export type TargetChoiceState = 'healthy' | 'slow' | 'dead' | 'leaving' | 'new';
 
-/** One target as this router knows it at the moment of the choice. */
+/** State of one target as known to this router at the time of the choice. */
 export interface TargetView {
   readonly name: string;
   readonly zone: string;
-  /** Generations it runs at once. */
+  /** Generations that the target runs concurrently. */
   readonly slots: number;
-  /** This router's own work there. */
+  /** Generations of this router in progress at the target. */
   readonly inFlight: number;
-  /** Generations running and waiting there as last reported, by whomever sent them. */
+  /** Generations of all routers running and waiting at the target, from its last report. */
   readonly reportedRunning?: number;
   readonly reportedWaiting?: number;
-  /** Milliseconds since the target counted them. */
+  /** Age of the report, milliseconds. */
   readonly reportAgeMs?: number;
-  /** What this router sent there after the report was counted. */
+  /** Generations that this router sent after the report was made. */
   readonly sentSinceReport: number;
-  /** What of this router's work ended there after the report was counted; none when absent. */
+  /** Generations of this router that ended after the report was made; none if absent. */
   readonly endedSinceReport?: number;
   readonly state: TargetChoiceState;
-  /** 0 to 1: how much of its full load a new or returning target is given. */
+  /** Share of its full load that a new or readmitted target gets, 0 to 1. */
   readonly warmShare: number;
 }
 
@@ -31,18 +31,18 @@
   /** Digests of the prompt's prefixes, longest first; may be empty. */
   readonly prefixKeys: readonly string[];
   readonly nowMs: number;
-  /** Names that must not be chosen, such as the target that was just lost. */
+  /** Names of targets that must not be chosen, such as the one that was just lost. */
   readonly excluded: ReadonlySet<string>;
   readonly purpose: 'first' | 'continuation';
-  /** Tokens to prefill where nothing is cached; a middling prompt when absent. */
+  /** Tokens to prefill if nothing is cached; an average prompt is assumed if absent. */
   readonly promptTokens?: number;
 }
 
 export interface ConsideredTarget {
   readonly name: string;
-  /** Milliseconds until the first token, as expected; comparable only inside one choice. */
+  /** Expected milliseconds until the first token; comparable only within one choice. */
   readonly expectedWait: number;
-  /** 0 to 1: part of the prompt that is probably in its prefix cache. */
+  /** Share of the prompt that is probably in the target's prefix cache, 0 to 1. */
   readonly cachedShare: number;
 }
 
--- a/packages/sequoiarill-decisions/src/targetChooser.ts
+++ b/packages/sequoiarill-decisions/src/targetChooser.ts
@@ -1,11 +1,11 @@
 /**
  * Chooses the target of one attempt.
  *
- * Load pattern: many routers choosing at once from lagging reports. The least loaded of all by report
- * is the same target for every router and is buried; a choice among a few random samples by
- * corrected load spreads them and costs the same at any number of targets. Same zone first; another
- * zone when its expected wait is shorter by more than the way there; targets that probably have the
- * prompt's prefix cached are always among the considered.
+ * Load pattern: many routers choose at the same time from outdated load reports. The target with the least
+ * reported load is the same for every router and would be overloaded. Choosing among a few random samples
+ * by corrected load spreads the requests and costs the same for any number of targets. Local targets are
+ * preferred; another zone is used when its expected wait is shorter by more than the network latency to
+ * it. Targets that probably have a prefix of the prompt cached are always considered.
  */
 import * as ExpectedWait from './expectedWait';
 import * as PrefixAffinity from './prefixAffinity';
@@ -16,26 +16,26 @@
   TargetView,
 } from './targetChoiceTypes';
 
-/** Usable candidates drawn from the own zone and from others. */
+/** Number of usable candidates that are sampled from the local zone and from other zones. */
 export interface SampleCounts {
   readonly zone: number;
   readonly other: number;
 }
 
-/** More gain nothing; some of other zones are needed where one of the own zone is slow. */
+/** More samples bring no gain; some of other zones are needed in case the local ones are slow. */
 const DEFAULT_SAMPLES: SampleCounts = { zone: 4, other: 2 };
-/** Targets where a stream of this router just ended, so that a slot is known to be free. */
+/** Tracked targets where a stream of this router just ended, so that a slot is probably free. */
 const MAX_FREED = 4;
-/** More names than candidates means that most are gone. */
-const MAX_KNOWN_INDICES = 4_000;
-/** Other routers fill a freed slot in about this time. Milliseconds. */
-const FREED_MEMORY_MS = 200;
-/** Draws before the list is searched through: enough to find the samples among many unusable. */
+/** Above this size most entries belong to removed targets, and the cache is cleared. */
+const MAX_CACHED_INDICES = 4_000;
+/** Other routers use a freed slot within about this time. */
+const FREED_TTL_MS = 200;
+/** Random draws before all candidates are searched: enough to find samples among many unusable ones. */
 const MAX_DRAWS = 24;
-/** A middling prompt, where the request does not say. Tokens. */
+/** Prompt length that is assumed where the request gives none: an average prompt. */
 const DEFAULT_PROMPT_TOKENS = 500;
-/** Targets come back or are replaced in about this time. Seconds. */
-const NO_TARGET_RETRY_SECONDS = 2;
+/** Targets recover or are replaced within about this time. */
+const NO_TARGET_RETRY_AFTER_SECONDS = 2;
 
 export interface TargetChooserOptions {
   /** Uniform in [0, 1). */
@@ -45,7 +45,7 @@
 
 export interface TargetChooser {
   readonly chooseTarget: (request: TargetChoiceRequest) => TargetChoice;
-  /** A stream ended there: in saturation the surest sign of a free slot, newer than any report. */
+  /** Records the end of a stream: under saturation the best evidence of a free slot, newer than reports. */
   readonly recordEnd: (target: string, nowMs: number) => void;
 }
 
@@ -59,7 +59,7 @@
 export function createTargetChooser(options: TargetChooserOptions): TargetChooser {
   const affinity = PrefixAffinity.createPrefixAffinity();
   const samples = options.samples ?? DEFAULT_SAMPLES;
-  /** Where chosen targets were among the candidates: saves a search while the list is unchanged. */
+  /** Last indices of chosen targets among the candidates: avoids a search while the list is unchanged. */
   const indexByName = new Map<string, number>();
   let freed: readonly FreedTarget[] = [];
 
@@ -69,12 +69,12 @@
   }
 
   function recordChoice(name: string, index: number): void {
-    if (indexByName.size >= MAX_KNOWN_INDICES) indexByName.clear();
+    if (indexByName.size >= MAX_CACHED_INDICES) indexByName.clear();
     indexByName.set(name, index);
   }
 
   function listFreed(request: TargetChoiceRequest): readonly number[] {
-    freed = freed.filter((one) => request.nowMs - one.usedAtMs <= FREED_MEMORY_MS);
+    freed = freed.filter((one) => request.nowMs - one.usedAtMs <= FREED_TTL_MS);
     return freed
       .map((one) => findCandidate(request.candidates, one))
       .filter((index) => {
@@ -92,7 +92,7 @@
     ]);
     const considered = [...indices].map((index) => computeConsidered(request, index, shares));
     const best = pickShortest(considered);
-    if (best === undefined) return decideNone(request);
+    if (best === undefined) return buildNoTargetChosen(request);
     freed = freed.filter((one) => one.name !== best.name);
     recordChoice(best.name, best.index);
     affinity.recordUse(request.prefixKeys, best.name, best.index, request.nowMs);
@@ -116,7 +116,7 @@
   return !request.excluded.has(view.name);
 }
 
-/** Usable candidates that probably hold a prefix of the prompt, by index. */
+/** Cached share by candidate index, for usable holders of a prefix or else the preferred target. */
 function listCachedShares(
   request: TargetChoiceRequest,
   affinity: PrefixAffinity.PrefixAffinity,
@@ -129,8 +129,8 @@
     if (view !== undefined && isUsable(view, request)) shares.set(index, cachedShare);
   }
   if (shares.size === 0) {
-    const home = findHome(request);
-    if (home !== undefined) shares.set(home, 0);
+    const preferred = findPreferredTarget(request);
+    if (preferred !== undefined) shares.set(preferred, 0);
   }
   return shares;
 }
@@ -143,24 +143,24 @@
   return candidates.findIndex((view) => view.name === holder.name);
 }
 
-/** The shortest prefix is the one that prompts share, such as a shop's instructions. */
-function findHome(request: TargetChoiceRequest): number | undefined {
-  const shared = request.prefixKeys.at(-1);
-  if (shared === undefined) return undefined;
+/** Ranks by the shortest prefix, since that is the one that prompts share (a shop's instructions, say). */
+function findPreferredTarget(request: TargetChoiceRequest): number | undefined {
+  const sharedPrefix = request.prefixKeys.at(-1);
+  if (sharedPrefix === undefined) return undefined;
   const local = request.candidates.filter((view) => view.zone === request.zone);
   const pool = local.length > 0 ? local : request.candidates;
-  const home =
+  const preferred =
     pool[
       PrefixAffinity.choosePreferredTarget(
-        shared,
+        sharedPrefix,
         pool.map((view) => view.name),
       )
     ];
-  if (home === undefined || !isUsable(home, request)) return undefined;
-  return request.candidates.indexOf(home);
+  if (preferred === undefined || !isUsable(preferred, request)) return undefined;
+  return request.candidates.indexOf(preferred);
 }
 
-/** Indices of some usable candidates, own zone preferred; of all usable ones when draws fail. */
+/** Samples usable candidates of the local and other zones; if no draw hits one, returns all usable. */
 function sampleIndices(
   request: TargetChoiceRequest,
   samples: SampleCounts,
@@ -202,7 +202,7 @@
   return { index, name: view.name, expectedWait, cachedShare, isHolder: shares.has(index) };
 }
 
-/** A home of a prefix wins a tie, so that routers agree on it. */
+/** The first of equal candidates wins: prefix holders and the preferred target come first. */
 function pickShortest(considered: readonly Considered[]): Considered | undefined {
   let best: Considered | undefined;
   for (const candidate of considered) {
@@ -216,10 +216,10 @@
   return `shortest expected wait of ${count}: ${Math.round(best.expectedWait)} ms${cached}`;
 }
 
-function decideNone(request: TargetChoiceRequest): TargetChoice {
+function buildNoTargetChosen(request: TargetChoiceRequest): TargetChoice {
   const reason =
     request.candidates.length === 0
       ? 'no target serves this model'
       : `none of ${request.candidates.length} targets is usable: dead, leaving or already tried`;
-  return { kind: 'none', reason, retryAfterSeconds: NO_TARGET_RETRY_SECONDS };
+  return { kind: 'none', reason, retryAfterSeconds: NO_TARGET_RETRY_AFTER_SECONDS };
 }
--- a/packages/sequoiarill-decisions/src/targetSet.ts
+++ b/packages/sequoiarill-decisions/src/targetSet.ts
@@ -1,26 +1,25 @@
 /**
- * Which targets a router connects to for one model.
+ * Subsetting: selects the targets that a router connects to for one model.
  *
- * Load pattern: growth. 570 routers that each connect to 6,700 servers are 3.8 million connections
- * and as many load reports. Each router takes a bounded set instead. Sets drawn at random by each
- * router leave some targets with few routers and some with many; here each target takes the same
- * number of routers by rendezvous hashing, so every target is reached by as many routers as any
- * other, all routers compute the same pairs without talking, and a router or target that comes or
- * goes changes only the pairs it is in (and one more in each pair's count when the count changes).
- * The figures are in docs/design/0003.
+ * Load pattern: growth. 570 routers that each connect to 6,700 servers need 3.8 million connections and as
+ * many load reports, so each router uses a bounded subset. If each router drew its subset at random, some
+ * targets would get few routers and others many. Instead each target selects the same number of routers
+ * by rendezvous hashing. All routers compute the same pairs without communicating, and a router or target
+ * that is added or removed changes only its own pairs (and one pair per target when the number of routers
+ * per target changes). The figures are in docs/design/0003.
  */
 import * as RendezvousHashing from './rendezvousHashing';
 
 export interface TargetSetOptions {
   readonly routerName: string;
-  /** Targets of one model that a router should have on average. */
+  /** Average number of targets of one model per router. */
   readonly size: number;
 }
 
 export interface TargetSet {
   /**
-   * The part of `targets` that this router uses. `routers` are the routers that share the targets,
-   * this one among them; without them each router ranks for itself, which is less even.
+   * Selects the subset of `targets` that this router uses. `routers` are all routers that share the
+   * targets, including this one; without them the router ranks alone, which spreads less evenly.
    */
   readonly selectTargets: (
     targets: readonly string[],
@@ -28,8 +27,8 @@
   ) => readonly string[];
 }
 
-/** Fewer routers than this at a target and one router's loss would leave it idle. */
-const MIN_ROUTERS = 2;
+/** With fewer routers per target, the loss of one router would leave the target idle. */
+const MIN_ROUTERS_PER_TARGET = 2;
 
 export function createTargetSet(options: TargetSetOptions): TargetSet {
   const ownDigest = RendezvousHashing.hashName(options.routerName);
@@ -43,25 +42,25 @@
     if (others.length === 0) return selectHighest(targets, ownDigest, options.size);
     const routerCount = others.length + 1;
     const wanted = Math.ceil((options.size * routerCount) / targets.length);
-    const routersPerTarget = Math.min(routerCount, Math.max(MIN_ROUTERS, wanted));
+    const routersPerTarget = Math.min(routerCount, Math.max(MIN_ROUTERS_PER_TARGET, wanted));
     const otherDigests = others.map(RendezvousHashing.hashName);
     return targets.filter((target) => {
       const digest = RendezvousHashing.hashName(target);
-      return computePlace(digest, ownDigest, otherDigests) < routersPerTarget;
+      return countRankedAbove(digest, ownDigest, otherDigests) < routersPerTarget;
     });
   }
 
   return { selectTargets };
 }
 
-/** How many of the other routers rank above this one at the target. */
-function computePlace(target: number, own: number, others: readonly number[]): number {
+/** Counts the other routers that rank above this one at the target. */
+function countRankedAbove(target: number, own: number, others: readonly number[]): number {
   const ownRank = RendezvousHashing.hashPair(target, own);
-  let place = 0;
+  let count = 0;
   for (const other of others) {
-    if (RendezvousHashing.hashPair(target, other) > ownRank) place += 1;
+    if (RendezvousHashing.hashPair(target, other) > ownRank) count += 1;
   }
-  return place;
+  return count;
 }
 
 function selectHighest(
