--- a/packages/sequoiarill-decisions/src/__tests__/outlierDetector.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/outlierDetector.test.ts
@@ -6,7 +6,7 @@
 
 const TARGETS = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-function createWarm() {
+function createWarmDetector() {
   const detector = OutlierDetector.createOutlierDetector();
   for (let turn = 0; turn < 30; turn += 1) {
     for (const target of TARGETS) {
@@ -19,10 +19,10 @@
 }
 
 describe('outlierDetector', () => {
-  it('ejects the target that is slow beside its peers, and lets it back in with a small share', () => {
-    // One engine's machine throttles: its gaps grow from 30 to 150 ms, nothing fails. Every stream
-    // sent to it breaks the bound between tokens until it is left out.
-    const detector = createWarm();
+  it('ejects a target that is slower than its peers and readmits it with a small share', () => {
+    // The machine of one engine throttles: its gaps grow from 30 to 150 ms, but nothing fails. Every
+    // stream sent to it exceeds the limit on the gap between tokens until it is ejected.
+    const detector = createWarmDetector();
     let nowMs = 3_000;
     while (detector.getState('a', nowMs) === 'healthy' && nowMs < 20_000) {
       nowMs += 100;
@@ -35,16 +35,16 @@
     expect(detector.getState('a', nowMs + 12_100)).toEqual('healthy');
   });
 
-  it('takes a target that fails fast out after three failures', () => {
+  it('ejects a target that fails fast after three failures', () => {
     // An engine lost its accelerator and refuses each request within a millisecond. It never has work
-    // in progress, so by load it is the best choice for every prompt.
-    const detector = createWarm();
+    // in progress, so by load it would be chosen for every prompt.
+    const detector = createWarmDetector();
     for (let index = 0; index < 3; index += 1) detector.recordFailure('b', 3_000 + index);
     expect(detector.getState('b', 3_003)).toEqual('dead');
   });
 
-  it('takes a target out that fails often but not always', () => {
-    const detector = createWarm();
+  it('ejects a target that fails often but not always', () => {
+    const detector = createWarmDetector();
     for (let index = 0; index < 40; index += 1) {
       const nowMs = 13_000 + index * 100;
       if (index % 2 === 0) detector.recordFailure('b', nowMs);
@@ -53,8 +53,8 @@
     expect(detector.getState('b', 17_000)).toEqual('dead');
   });
 
-  it('ejects nobody when all become slow together', () => {
-    const detector = createWarm();
+  it('ejects no target when all become slow together', () => {
+    const detector = createWarmDetector();
     for (let turn = 0; turn < 200; turn += 1) {
       for (const target of TARGETS) {
         detector.recordFirstToken(target, 900, 3_000 + turn * 100);
@@ -65,17 +65,17 @@
   });
 
   it('keeps half of the targets in use when this router itself is at fault', () => {
-    // The router's own network fails, so every target seems to fail. With all of them left out there
-    // would be nobody to try when the network is back.
-    const detector = createWarm();
+    // The router's own network fails, so every target appears to fail. If all were ejected, none would be
+    // left to use when the network recovers.
+    const detector = createWarmDetector();
     for (const target of TARGETS) {
       for (let index = 0; index < 10; index += 1) detector.recordFailure(target, 3_000 + index);
     }
     expect(detector.listEjected(3_010).length).toEqual(3);
   });
 
-  it('doubles the time out for a target that comes back ill', () => {
-    const detector = createWarm();
+  it('doubles the ejection time of a target that still fails when readmitted', () => {
+    const detector = createWarmDetector();
     const failAt = (nowMs: number) => {
       for (let index = 0; index < 3; index += 1) detector.recordFailure('c', nowMs);
     };
@@ -86,8 +86,8 @@
     expect(detector.getState('c', 9_100)).toEqual('new');
   });
 
-  it('warms a replaced target up over ten seconds', () => {
-    const detector = createWarm();
+  it('warms up a replaced target over ten seconds', () => {
+    const detector = createWarmDetector();
     detector.addTarget('d', 3_000);
     expect(detector.getState('d', 3_000)).toEqual('new');
     expect(detector.getWarmShare('d', 8_000)).toEqual(0.55);
--- a/packages/sequoiarill-decisions/src/__tests__/suspectTracker.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/suspectTracker.test.ts
@@ -4,45 +4,45 @@
 
 import * as SuspectTrackers from '../suspectTracker';
 
-function createPlace(id: string, zone = 'a') {
+function createLocation(id: string, zone = 'a') {
   return { id, zone, service: 'engines' };
 }
 
-describe('loss suspicion', () => {
-  it('leaves a lost target out for about the time of a restart', () => {
-    const suspicion = SuspectTrackers.createSuspectTracker();
-    suspicion.recordLoss(createPlace('a1'), 1_000);
-    expect(suspicion.isSuspect(createPlace('a1'), 1_100)).toEqual(true);
-    expect(suspicion.isSuspect(createPlace('a2'), 1_100)).toEqual(false);
-    expect(suspicion.isSuspect(createPlace('a1'), 3_000)).toEqual(false);
+describe('suspectTracker', () => {
+  it('suspects a lost target for about the time of a restart', () => {
+    const tracker = SuspectTrackers.createSuspectTracker();
+    tracker.recordLoss(createLocation('a1'), 1_000);
+    expect(tracker.isSuspect(createLocation('a1'), 1_100)).toEqual(true);
+    expect(tracker.isSuspect(createLocation('a2'), 1_100)).toEqual(false);
+    expect(tracker.isSuspect(createLocation('a1'), 3_000)).toEqual(false);
   });
 
-  it('leaves out the zone that goes dark, but for targets that still speak', () => {
-    // Most engines of a zone go dark at the same moment. Without the zone each new prompt would wait
-    // for one of the dead engines first.
-    const suspicion = SuspectTrackers.createSuspectTracker();
-    for (const id of ['a1', 'a2', 'a3']) suspicion.recordLoss(createPlace(id), 1_000);
-    suspicion.recordAlive(createPlace('a5'), 1_050);
-    expect(suspicion.isSuspect(createPlace('a4'), 1_100)).toEqual(true);
-    expect(suspicion.isSuspect(createPlace('a5'), 1_100)).toEqual(false);
-    expect(suspicion.isSuspect(createPlace('b1', 'b'), 1_100)).toEqual(false);
-    expect(suspicion.isSuspect(createPlace('a4'), 2_100)).toEqual(false);
+  it('suspects a zone that loses several targets, except targets with liveness evidence', () => {
+    // Most engines of a zone crash at the same moment. If the zone were not suspected, each new prompt
+    // would first wait for one of the dead engines.
+    const tracker = SuspectTrackers.createSuspectTracker();
+    for (const id of ['a1', 'a2', 'a3']) tracker.recordLoss(createLocation(id), 1_000);
+    tracker.recordAlive(createLocation('a5'), 1_050);
+    expect(tracker.isSuspect(createLocation('a4'), 1_100)).toEqual(true);
+    expect(tracker.isSuspect(createLocation('a5'), 1_100)).toEqual(false);
+    expect(tracker.isSuspect(createLocation('b1', 'b'), 1_100)).toEqual(false);
+    expect(tracker.isSuspect(createLocation('a4'), 2_100)).toEqual(false);
   });
 
-  it('takes losses that lie apart for ordinary crashes', () => {
-    const suspicion = SuspectTrackers.createSuspectTracker();
-    suspicion.recordLoss(createPlace('a1'), 1_000);
-    suspicion.recordLoss(createPlace('a2'), 2_500);
-    suspicion.recordLoss(createPlace('a3'), 4_000);
-    expect(suspicion.isSuspect(createPlace('a4'), 4_010)).toEqual(false);
+  it('treats losses at different times as ordinary crashes', () => {
+    const tracker = SuspectTrackers.createSuspectTracker();
+    tracker.recordLoss(createLocation('a1'), 1_000);
+    tracker.recordLoss(createLocation('a2'), 2_500);
+    tracker.recordLoss(createLocation('a3'), 4_000);
+    expect(tracker.isSuspect(createLocation('a4'), 4_010)).toEqual(false);
   });
 
-  it('trusts a target again at its first sign of life, and one that is gone no more', () => {
-    const suspicion = SuspectTrackers.createSuspectTracker();
-    suspicion.recordLoss(createPlace('a1'), 1_000);
-    suspicion.recordAlive(createPlace('a1'), 1_200);
-    expect(suspicion.isSuspect(createPlace('a1'), 1_201)).toEqual(false);
-    suspicion.recordRemoval(createPlace('a2'), 1_000);
-    expect(suspicion.isSuspect(createPlace('a2'), 5_000)).toEqual(true);
+  it('clears a target with liveness evidence, and keeps suspecting a removed one', () => {
+    const tracker = SuspectTrackers.createSuspectTracker();
+    tracker.recordLoss(createLocation('a1'), 1_000);
+    tracker.recordAlive(createLocation('a1'), 1_200);
+    expect(tracker.isSuspect(createLocation('a1'), 1_201)).toEqual(false);
+    tracker.recordRemoval(createLocation('a2'), 1_000);
+    expect(tracker.isSuspect(createLocation('a2'), 5_000)).toEqual(true);
   });
 });
--- a/packages/sequoiarill-decisions/src/outlierDetector.ts
+++ b/packages/sequoiarill-decisions/src/outlierDetector.ts
@@ -1,45 +1,48 @@
 /**
- * Tells slow and failing targets from healthy ones by comparing them with peers of the same model.
+ * Outlier detection: finds slow and failing targets by comparing them with the other targets of the model.
  *
- * Load patterns: one slow target; one that fails fast and so looks idle. Without detection the first
- * holds every stream that was sent to it, and the second takes most new prompts, because a target
- * that fails each within a millisecond never has any in progress. Comparison with the peers' median
- * keeps a general slowdown from ejecting anybody; a cap on the ejected share keeps a fault of this
- * router's own (its network, say) from ejecting everybody. An ejected target is let back in after a
- * time that doubles with each ejection in a row, with a small share that grows: a target that lost
- * its caches or is still ill gets little to spoil.
+ * Load patterns: one target is slow, or one fails fast and therefore looks idle. Without detection the
+ * slow target delays every stream that is sent to it, and the failing one attracts most new prompts,
+ * because it fails each within a millisecond and never has any in progress. Comparing with the median of
+ * the peers prevents ejections when all targets slow down together. A cap on the ejected share prevents a
+ * fault of this router (of its network, for example) from ejecting all targets. An ejected target is
+ * readmitted after a time that doubles with each consecutive ejection, with a small share of the load that
+ * grows, so that a target that lost its caches or still fails affects few requests.
  */
 import type * as Types from './outlierTypes';
 import * as PeerMedians from './peerMedians';
 import * as Records from './targetRecord';
 import type { EjectionCause, TargetRecord } from './targetRecord';
 
-/** Peers may be this much slower than the median before they are outliers, and by at least this. */
+/** A target is an outlier above both the median times the factor and the median plus the margin. */
 const FIRST_TOKEN_FACTOR = 3;
 const FIRST_TOKEN_MARGIN_MS = 300;
 const GAP_FACTOR = 2.5;
 const GAP_MARGIN_MS = 30;
 /**
- * Failures in a row, or a share of the last seconds' attempts, that eject. One is enough while a
- * target is being let back in: an idle, dead target is the best looking one for every new prompt.
+ * Consecutive failures, or the share of failed attempts in the last seconds, that eject a target. A single
+ * failure is enough while a readmitted target warms up: a dead target is idle and would attract every new
+ * prompt.
  */
 const MAX_CONSECUTIVE_FAILURES = 3;
 const MAX_FAILURE_SHARE = 0.4;
 const MIN_ATTEMPTS = 5;
 /**
- * Shares that may be ejected. A slow target still gives something, so slowness ejects few, and nobody
- * while others have failed: survivors that queue after a loss look slow and are all there is.
+ * Shares of the targets that may be ejected. A slow target still serves requests, so slowness ejects only
+ * few, and none while others are ejected for failures: the remaining targets queue after a loss, look
+ * slow, and are the only capacity left.
  */
 const DEFAULT_MAX_SLOW_SHARE = 0.2;
 const DEFAULT_MAX_FAILED_SHARE = 0.5;
 const FIRST_EJECTION_MS = 2_000;
 const MAX_EJECTION_MS = 60_000;
 const WARM_UP_MS = 10_000;
-/** Share at the start of a warm-up: some prompts a second, enough to be judged by. */
-const FIRST_WARM_SHARE = 0.1;
-/** Time after a warm-up without an ejection that forgets earlier ones. */
-const FORGIVEN_AFTER_MS = 60_000;
-/** One for each model of a router. */
+/** Share of the load at the start of a warm-up: some prompts a second, enough to evaluate the target. */
+const INITIAL_WARM_SHARE = 0.1;
+/** Time after a warm-up without an ejection, after which the count of ejections is reset. */
+const EJECTIONS_RESET_AFTER_MS = 60_000;
+
+/** A router creates one detector for each model. */
 export function createOutlierDetector(
   options: Types.OutlierDetectorOptions = {},
 ): Types.OutlierDetector {
@@ -49,34 +52,34 @@
   const getMedians = PeerMedians.createPeerMedians(records);
 
   function getRecord(target: string, nowMs: number): TargetRecord {
-    const known = records.get(target);
-    if (known !== undefined) return known;
-    const created = Records.createTargetRecord(nowMs);
-    records.set(target, created);
-    return created;
+    const existing = records.get(target);
+    if (existing !== undefined) return existing;
+    const record = Records.createTargetRecord(nowMs);
+    records.set(target, record);
+    return record;
   }
 
   function hasRoomToEject(cause: EjectionCause, nowMs: number): boolean {
-    let counted = 1;
+    let ejectedCount = 1;
     for (const record of records.values()) {
       const isCounted = cause !== 'failures' || record.ejectionCause === 'failures';
-      if (record.ejectedUntilMs > nowMs && isCounted) counted += 1;
+      if (record.ejectedUntilMs > nowMs && isCounted) ejectedCount += 1;
     }
     const maxShare = cause === 'failures' ? maxFailedShare : maxSlowShare;
-    return counted <= Math.max(1, Math.floor(records.size * maxShare));
+    return ejectedCount <= Math.max(1, Math.floor(records.size * maxShare));
   }
 
   function applyEjection(record: TargetRecord, cause: EjectionCause, nowMs: number): void {
-    const isOut = record.ejectedUntilMs > nowMs && record.ejectionCause === cause;
-    if (isOut || !hasRoomToEject(cause, nowMs)) return;
-    const isForgiven = nowMs - record.ejectedUntilMs > WARM_UP_MS + FORGIVEN_AFTER_MS;
-    const earlier = isForgiven ? 0 : record.ejections;
-    const lastsMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** earlier);
+    const isEjected = record.ejectedUntilMs > nowMs && record.ejectionCause === cause;
+    if (isEjected || !hasRoomToEject(cause, nowMs)) return;
+    const isReset = nowMs - record.ejectedUntilMs > WARM_UP_MS + EJECTIONS_RESET_AFTER_MS;
+    const earlierEjections = isReset ? 0 : record.ejections;
+    const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** earlierEjections);
     Object.assign(record, Records.createTargetRecord(nowMs), {
-      ejections: earlier + 1,
-      ejectedUntilMs: nowMs + lastsMs,
+      ejections: earlierEjections + 1,
+      ejectedUntilMs: nowMs + ejectionMs,
       ejectionCause: cause,
-      warmingSinceMs: nowMs + lastsMs,
+      warmingSinceMs: nowMs + ejectionMs,
     });
   }
 
@@ -118,9 +121,9 @@
     record.failures += 1;
     record.consecutiveFailures += 1;
     const attempts = record.failures + record.successes;
-    const isProbed = record.ejections > 0 && getWarmShare(target, nowMs) < 1;
+    const isWarmingUp = record.ejections > 0 && getWarmShare(target, nowMs) < 1;
     const isFailing =
-      isProbed ||
+      isWarmingUp ||
       record.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES ||
       (attempts >= MIN_ATTEMPTS && record.failures / attempts >= MAX_FAILURE_SHARE);
     if (isFailing) applyEjection(record, 'failures', nowMs);
@@ -145,7 +148,7 @@
     const since = records.get(target)?.warmingSinceMs;
     if (since === undefined) return 1;
     const progress = Math.max(0, nowMs - since) / WARM_UP_MS;
-    return Math.min(1, FIRST_WARM_SHARE + (1 - FIRST_WARM_SHARE) * progress);
+    return Math.min(1, INITIAL_WARM_SHARE + (1 - INITIAL_WARM_SHARE) * progress);
   }
 
   function addTarget(target: string, nowMs: number): void {
--- a/packages/sequoiarill-decisions/src/outlierTypes.ts
+++ b/packages/sequoiarill-decisions/src/outlierTypes.ts
@@ -1,26 +1,26 @@
-/** What outlier detection is told and what it answers. */
+/** Types of outlier detection. */
 
 export type OutlierState = 'healthy' | 'slow' | 'dead' | 'new';
 
 export interface OutlierDetectorOptions {
-  /** Part of the targets, 0 to 1, that slowness may eject; those that failed count as well. */
+  /** Share of the targets, 0 to 1, up to which slowness may eject; ejections for failures count too. */
   readonly maxSlowShare?: number;
-  /** Part of the targets, 0 to 1, that failures may eject. */
+  /** Share of the targets, 0 to 1, that failures may eject. */
   readonly maxFailedShare?: number;
 }
 
 export interface OutlierDetector {
-  /** Milliseconds from dispatch, less what prefill of the prompt explains where it is known. */
+  /** `ms`: time since dispatch, less the expected prefill time of the prompt where it is known. */
   readonly recordFirstToken: (target: string, ms: number, nowMs: number) => void;
-  /** Milliseconds between tokens of one stream; a sample of them is enough. */
+  /** `ms`: time between two tokens of one stream; a sample of the gaps is enough. */
   readonly recordGap: (target: string, ms: number, nowMs: number) => void;
-  /** A connection refused, an error answer, a stall or a stream that broke. */
+  /** Records a refused connection, an error answer, a stall or a broken stream. */
   readonly recordFailure: (target: string, nowMs: number) => void;
   readonly recordSuccess: (target: string, nowMs: number) => void;
   readonly getState: (target: string, nowMs: number) => OutlierState;
-  /** 0 to 1: how much of its full load the target is given while it warms up. */
+  /** Share of its full load that the target gets while it warms up, 0 to 1. */
   readonly getWarmShare: (target: string, nowMs: number) => number;
-  /** Starts the warm-up of a target that was not there before or has been replaced. */
+  /** Starts the warm-up of a target that is new or was replaced. */
   readonly addTarget: (target: string, nowMs: number) => void;
   readonly removeTarget: (target: string) => void;
   readonly listEjected: (nowMs: number) => readonly string[];
--- a/packages/sequoiarill-decisions/src/peerMedians.ts
+++ b/packages/sequoiarill-decisions/src/peerMedians.ts
@@ -1,12 +1,12 @@
-/** What is usual among the targets of a model: medians, so that one outlier does not move them. */
+/** Typical latencies of the targets of a model, as medians so that a single outlier doesn't affect them. */
 import type { TargetRecord } from './targetRecord';
 
-/** Samples before a target counts, and targets before there is a median to be judged by. */
+/** Minimum samples for a target to count, and minimum targets for a median to be computed. */
 export const MIN_FIRST_TOKENS = 5;
 export const MIN_GAPS = 20;
 const MIN_PEERS = 3;
-/** Computed again after this time, so that a sample costs no sorting. Milliseconds. */
-const MEDIAN_AGE_MS = 250;
+/** Medians are recomputed only after this time, so that recording a sample needs no sorting. */
+const MAX_MEDIAN_AGE_MS = 250;
 
 export interface Medians {
   readonly computedAtMs: number;
@@ -14,14 +14,14 @@
   readonly gapMs: number | undefined;
 }
 
-/** Answers the medians, at most `MEDIAN_AGE_MS` old. */
+/** Returns a function that gets the medians, at most `MAX_MEDIAN_AGE_MS` old. */
 export function createPeerMedians(
   records: ReadonlyMap<string, TargetRecord>,
 ): (nowMs: number) => Medians {
   let medians: Medians | undefined;
 
   return function getMedians(nowMs: number): Medians {
-    if (medians !== undefined && nowMs - medians.computedAtMs <= MEDIAN_AGE_MS) return medians;
+    if (medians !== undefined && nowMs - medians.computedAtMs <= MAX_MEDIAN_AGE_MS) return medians;
     const all = [...records.values()];
     const firstTokens = all.filter((record) => record.firstTokenSamples >= MIN_FIRST_TOKENS);
     const gaps = all.filter((record) => record.gapSamples >= MIN_GAPS);
--- a/packages/sequoiarill-decisions/src/stallPolicy.ts
+++ b/packages/sequoiarill-decisions/src/stallPolicy.ts
@@ -1,11 +1,11 @@
 /**
- * How long a stream may be silent before its target is taken for lost.
+ * Stall detection: computes how long a stream may be silent before its target is considered lost.
  *
- * Load pattern: a target that pauses, among targets whose gaps grow with load. A fixed threshold is
- * wrong twice: under load it cuts healthy streams and their prefill is spent again, at rest it makes
- * callers wait. So the threshold is a multiple of the gaps measured lately, kept inside the bounds
- * of what the organisation prefers. Bounds: a loss must be repaired within 3 s, so the patient bound
- * stays below that by the time of a cached first token; the eager one below 1 s.
+ * Load pattern: one target pauses, while the gaps between tokens of all targets grow with load. A fixed
+ * threshold fails both ways: under load it cuts healthy streams, whose prefill is then repeated, and
+ * without load it makes callers wait. So the threshold is a multiple of recently measured gaps, within
+ * bounds that depend on the organisation's preference. A loss must be repaired within 3 s, so the long
+ * bound is shorter than that by the time to a cached first token; the short bound is below 1 s.
  */
 import { build as buildHistogram } from 'hdr-histogram-js';
 
@@ -16,12 +16,12 @@
   readonly maxGapMs: number;
   /** Multiple of the 99.9th percentile of measured gaps. */
   readonly headroom: number;
-  /** Least time for a first token besides prefill. */
+  /** Minimum time allowed for a first token, in addition to prefill. */
   readonly firstTokenMs: number;
   readonly prefillHeadroom: number;
 }
 
-/** `copied`: another target holds a copy of the run's memory, so that nothing is prefilled again. */
+/** `copied`: another target holds a copy of the KV cache, so that no prefill has to be repeated. */
 export type StallPreference = ResumePreference | 'copied';
 
 const BOUNDS: Readonly<Record<StallPreference, PreferenceBounds>> = {
@@ -48,29 +48,29 @@
   },
 };
 
-/** Gaps in one window of the histogram; two windows are kept, so that old load is forgotten. */
+/** Gaps in one histogram window; only two windows are used, so that old measurements expire. */
 const WINDOW_GAPS = 20_000;
-/** Below this many gaps nothing is concluded from them. */
+/** Minimum number of gaps for a percentile to be used. */
 const MIN_GAPS = 200;
 const MAX_RECORDED_MS = 10_000;
-/** Prefill of one token until it is measured, milliseconds: slow on purpose. */
+/** Assumed prefill time per token until it is measured: deliberately long. */
 const INITIAL_PREFILL_MS_PER_TOKEN = 0.2;
 const PREFILL_WEIGHT = 0.05;
-/** A target's own gap, smoothed; a slow one that still delivers gets this multiple. */
+/** A target's own smoothed gap times the headroom extends the limit, for slow targets that still deliver. */
 const OWN_GAP_WEIGHT = 0.05;
 const OWN_GAP_HEADROOM = 6;
 
 export interface StallLimits {
-  /** Until the first token, from the moment the request was sent. */
+  /** Time until the first token, from the moment the request was sent. */
   readonly firstTokenMs: number;
-  /** Between tokens. */
+  /** Time between two tokens. */
   readonly gapMs: number;
 }
 
 export interface StallPolicy {
   readonly recordGap: (target: string, ms: number) => void;
   readonly recordFirstToken: (target: string, ms: number, promptTokens: number) => void;
-  /** `promptTokens` are those to prefill, with what was generated already. */
+  /** `promptTokens`: tokens to prefill, including those already generated. */
   readonly getLimits: (
     target: string,
     preference: StallPreference,
@@ -88,26 +88,26 @@
   });
 }
 
-/** One for each model: targets of different models have different gaps. */
+/** Each model needs its own policy, because gaps differ between models. */
 export function createStallPolicy(): StallPolicy {
   const ownGapByTarget = new Map<string, number>();
   let current = createWindow();
   let previous = createWindow();
   let recorded = 0;
   let prefillMsPerToken = INITIAL_PREFILL_MS_PER_TOKEN;
-  let cachedGapMs: number | undefined;
+  let typicalGapMs: number | undefined;
 
   function recordGap(target: string, ms: number): void {
-    const known = ownGapByTarget.get(target) ?? ms;
-    ownGapByTarget.set(target, known + (ms - known) * OWN_GAP_WEIGHT);
+    const ownGapMs = ownGapByTarget.get(target) ?? ms;
+    ownGapByTarget.set(target, ownGapMs + (ms - ownGapMs) * OWN_GAP_WEIGHT);
     current.recordValue(Math.min(Math.max(1, Math.round(ms)), MAX_RECORDED_MS));
     recorded += 1;
-    if (recorded % MIN_GAPS === 0) cachedGapMs = undefined;
+    if (recorded % MIN_GAPS === 0) typicalGapMs = undefined;
     if (current.totalCount < WINDOW_GAPS) return;
-    const emptied = previous;
-    emptied.reset();
+    const oldest = previous;
+    oldest.reset();
     previous = current;
-    current = emptied;
+    current = oldest;
   }
 
   function recordFirstToken(_target: string, ms: number, promptTokens: number): void {
@@ -119,18 +119,18 @@
   function computeTypicalGap(): number {
     const percentile = 99.9;
     if (recorded < MIN_GAPS) return Number.POSITIVE_INFINITY;
-    cachedGapMs ??= Math.max(
+    typicalGapMs ??= Math.max(
       current.getValueAtPercentile(percentile),
       previous.getValueAtPercentile(percentile),
     );
-    return cachedGapMs;
+    return typicalGapMs;
   }
 
   function getLimits(target: string, preference: StallPreference, promptTokens = 0): StallLimits {
     const bounds = BOUNDS[preference];
     const ownMs = (ownGapByTarget.get(target) ?? 0) * OWN_GAP_HEADROOM;
-    const wantedMs = Math.max(computeTypicalGap() * bounds.headroom, ownMs);
-    const gapMs = Math.min(bounds.maxGapMs, Math.max(bounds.minGapMs, wantedMs));
+    const desiredMs = Math.max(computeTypicalGap() * bounds.headroom, ownMs);
+    const gapMs = Math.min(bounds.maxGapMs, Math.max(bounds.minGapMs, desiredMs));
     const prefillMs = promptTokens * prefillMsPerToken * bounds.prefillHeadroom;
     return { gapMs, firstTokenMs: bounds.firstTokenMs + prefillMs };
   }
--- a/packages/sequoiarill-decisions/src/suspectTracker.ts
+++ b/packages/sequoiarill-decisions/src/suspectTracker.ts
@@ -1,14 +1,14 @@
 /**
- * Which targets are probably down, from the losses seen lately.
+ * Failure detector: tracks which targets are probably down, based on recent losses.
  *
- * Load pattern: most engines of a zone crash at the same moment, some without a word. Without this
- * each router finds each of them by itself, and every new or continued stream that is sent to the
- * next dead one waits for a refused or silent connection first. So one loss leaves its target out for
- * about the time of a restart, and losses at several targets of a zone leave out the whole zone for
- * as long, unless a target there gives a sign of life.
+ * Load pattern: most engines of a zone crash at the same moment, some without closing their connections.
+ * Without the tracker each router detects each crash separately, and every new or continued stream that
+ * is sent to the next dead engine first waits for a refused or silent connection. So a lost target is
+ * suspected for about the time of a restart, and losses of several targets of a zone make the entire zone
+ * suspected for a similar time, except targets with recent liveness evidence.
  */
 
-/** Where a target stands. */
+/** Identity and location of a target. */
 export interface TargetLocation {
   readonly id: string;
   readonly zone: string;
@@ -17,108 +17,108 @@
 
 export interface SuspectTracker {
   readonly recordLoss: (target: TargetLocation, nowMs: number) => void;
-  /** The target is known not to be there any more. */
+  /** Records that the target was removed. */
   readonly recordRemoval: (target: TargetLocation, nowMs: number) => void;
-  /** The target answered: it lives, and so may its neighbours. */
+  /** Records liveness evidence: the target answered. */
   readonly recordAlive: (target: TargetLocation, nowMs: number) => void;
   /**
-   * Whether another life may have taken the target's address since it last proved who it is: it was
-   * lost, or several of its zone were.
+   * Whether another incarnation may have taken the target's address since its identity was last verified:
+   * the target was lost since, or several targets of its zone were.
    */
   readonly isUnverified: (target: TargetLocation) => boolean;
-  /** The target proved that it still is the life that is known. */
+  /** Records that the target was verified to be the known incarnation. */
   readonly recordVerified: (target: TargetLocation, nowMs: number) => void;
-  /** When it last did so, monotonic milliseconds; undefined for never. */
+  /** Time of the last verification, monotonic milliseconds; undefined for never. */
   readonly getVerifiedAtMs: (target: TargetLocation) => number | undefined;
   readonly isSuspect: (target: TargetLocation, nowMs: number) => boolean;
   readonly removeTarget: (id: string) => void;
 }
 
-/** Time for which a lost target is left out, milliseconds: a restart takes a second or more. */
-const TARGET_MS = 1_200;
-/** The directory drops a target that is gone within this time, milliseconds. */
-const GONE_MS = 6_000;
-/** Losses of different targets of a zone within this time belong together, milliseconds. */
-const TOGETHER_MS = 1_000;
-/** Targets lost together that speak for a fault of the zone; one or two are ordinary crashes. */
-const ZONE_LOSSES = 3;
-/** So many make the identity of the zone's other targets doubtful; asking them is cheap. */
-const UNPROVED_LOSSES = 2;
-/** Time for which the rest of such a zone is left out after the last loss, milliseconds. */
-const ZONE_MS = 1_000;
-/** A target that gave a sign of life this lately is not down with its zone, milliseconds. */
-const SIGN_MS = 250;
+/** Time for which a lost target is suspected: a restart takes a second or more. */
+const TARGET_SUSPECT_MS = 1_200;
+/** Time for which a removed target is suspected: the directory drops it within this time. */
+const REMOVED_SUSPECT_MS = 6_000;
+/** Losses of different targets of a zone within this time are considered correlated. */
+const CORRELATED_LOSS_MS = 1_000;
+/** Correlated losses that indicate a fault of the zone; one or two are ordinary crashes. */
+const MIN_ZONE_LOSSES = 3;
+/** Correlated losses after which the zone's other targets are unverified; verifying them is cheap. */
+const MIN_UNVERIFIED_LOSSES = 2;
+/** Time for which the rest of such a zone is suspected after the last loss. */
+const ZONE_SUSPECT_MS = 1_000;
+/** A target with liveness evidence this recent is not suspected with its zone. */
+const ALIVE_MS = 250;
 
 interface ZoneRecord {
-  readonly lossesMs: Map<string, number>;
+  /** Times of recent losses by target id. */
+  readonly lossTimes: Map<string, number>;
   suspectUntilMs: number;
-  /** When several targets were lost together, last; 0 for never. */
-  lostMs: number;
+  /** Time of the last correlated loss of several targets; 0 for never. */
+  lostAtMs: number;
 }
 
 export function createSuspectTracker(): SuspectTracker {
-  const untilByTarget = new Map<string, number>();
-  const signByTarget = new Map<string, number>();
-  const proofByTarget = new Map<string, number>();
-  const lossByTarget = new Map<string, number>();
+  // Times by target id, monotonic milliseconds.
+  const suspectUntil = new Map<string, number>();
+  const aliveAt = new Map<string, number>();
+  const verifiedAt = new Map<string, number>();
+  const lostAt = new Map<string, number>();
   const zones = new Map<string, ZoneRecord>();
 
   function getZone(target: TargetLocation): ZoneRecord {
     const key = `${target.service} ${target.zone}`;
-    const known = zones.get(key);
-    if (known !== undefined) return known;
-    const created: ZoneRecord = { lossesMs: new Map(), suspectUntilMs: 0, lostMs: 0 };
-    zones.set(key, created);
-    return created;
+    const existing = zones.get(key);
+    if (existing !== undefined) return existing;
+    const zone: ZoneRecord = { lossTimes: new Map(), suspectUntilMs: 0, lostAtMs: 0 };
+    zones.set(key, zone);
+    return zone;
   }
 
-  function removeOld(nowMs: number): void {
-    for (const [id, untilMs] of untilByTarget) if (untilMs <= nowMs) untilByTarget.delete(id);
-    for (const [id, atMs] of signByTarget) if (nowMs - atMs > SIGN_MS) signByTarget.delete(id);
+  function removeExpired(nowMs: number): void {
+    for (const [id, untilMs] of suspectUntil) if (untilMs <= nowMs) suspectUntil.delete(id);
+    for (const [id, atMs] of aliveAt) if (nowMs - atMs > ALIVE_MS) aliveAt.delete(id);
   }
 
   return {
     recordLoss(target, nowMs) {
-      removeOld(nowMs);
-      signByTarget.delete(target.id);
-      untilByTarget.set(target.id, nowMs + TARGET_MS);
+      removeExpired(nowMs);
+      aliveAt.delete(target.id);
+      suspectUntil.set(target.id, nowMs + TARGET_SUSPECT_MS);
       const zone = getZone(target);
-      for (const [id, atMs] of zone.lossesMs) {
-        if (nowMs - atMs > TOGETHER_MS) zone.lossesMs.delete(id);
+      for (const [id, atMs] of zone.lossTimes) {
+        if (nowMs - atMs > CORRELATED_LOSS_MS) zone.lossTimes.delete(id);
       }
-      zone.lossesMs.set(target.id, nowMs);
-      lossByTarget.set(target.id, nowMs);
-      if (zone.lossesMs.size >= ZONE_LOSSES) zone.suspectUntilMs = nowMs + ZONE_MS;
-      if (zone.lossesMs.size >= UNPROVED_LOSSES) zone.lostMs = nowMs;
+      zone.lossTimes.set(target.id, nowMs);
+      lostAt.set(target.id, nowMs);
+      if (zone.lossTimes.size >= MIN_ZONE_LOSSES) zone.suspectUntilMs = nowMs + ZONE_SUSPECT_MS;
+      if (zone.lossTimes.size >= MIN_UNVERIFIED_LOSSES) zone.lostAtMs = nowMs;
     },
     recordRemoval(target, nowMs) {
-      removeOld(nowMs);
-      signByTarget.delete(target.id);
-      untilByTarget.set(target.id, nowMs + GONE_MS);
+      removeExpired(nowMs);
+      aliveAt.delete(target.id);
+      suspectUntil.set(target.id, nowMs + REMOVED_SUSPECT_MS);
     },
     recordAlive(target, nowMs) {
-      untilByTarget.delete(target.id);
-      signByTarget.set(target.id, nowMs);
+      suspectUntil.delete(target.id);
+      aliveAt.set(target.id, nowMs);
     },
     isUnverified(target) {
-      const lostMs = Math.max(lossByTarget.get(target.id) ?? 0, getZone(target).lostMs);
-      return lostMs > (proofByTarget.get(target.id) ?? -1) && lostMs > 0;
+      const lostAtMs = Math.max(lostAt.get(target.id) ?? 0, getZone(target).lostAtMs);
+      return lostAtMs > (verifiedAt.get(target.id) ?? -1) && lostAtMs > 0;
     },
     recordVerified(target, nowMs) {
-      proofByTarget.set(target.id, nowMs);
-      lossByTarget.delete(target.id);
+      verifiedAt.set(target.id, nowMs);
+      lostAt.delete(target.id);
     },
-    getVerifiedAtMs: (target) => proofByTarget.get(target.id),
+    getVerifiedAtMs: (target) => verifiedAt.get(target.id),
     removeTarget(id) {
-      [untilByTarget, signByTarget, proofByTarget, lossByTarget].forEach((known) =>
-        known.delete(id),
-      );
+      [suspectUntil, aliveAt, verifiedAt, lostAt].forEach((times) => times.delete(id));
     },
     isSuspect(target, nowMs) {
-      if ((untilByTarget.get(target.id) ?? 0) > nowMs) return true;
+      if ((suspectUntil.get(target.id) ?? 0) > nowMs) return true;
       if (getZone(target).suspectUntilMs <= nowMs) return false;
-      const signedAtMs = signByTarget.get(target.id);
-      return signedAtMs === undefined || nowMs - signedAtMs > SIGN_MS;
+      const aliveAtMs = aliveAt.get(target.id);
+      return aliveAtMs === undefined || nowMs - aliveAtMs > ALIVE_MS;
     },
   };
 }
--- a/packages/sequoiarill-decisions/src/targetRecord.ts
+++ b/packages/sequoiarill-decisions/src/targetRecord.ts
@@ -1,8 +1,8 @@
-/** What is remembered of one target for outlier detection, smoothed. */
+/** Smoothed measurements of one target for outlier detection. */
 
-/** Weight of the newest sample: a change shows after some ten of them. */
-const WEIGHT = 0.1;
-/** Failures and successes are counted with this half-life, milliseconds. */
+/** Weight of the newest sample: the mean follows a change after about ten samples. */
+const SAMPLE_WEIGHT = 0.1;
+/** Half-life of the counts of failures and successes. */
 const COUNT_HALF_LIFE_MS = 5_000;
 
 export type EjectionCause = 'failures' | 'firstToken' | 'gap';
@@ -16,12 +16,12 @@
   failures: number;
   consecutiveFailures: number;
   countedAtMs: number;
-  /** 0 while it was never ejected. */
+  /** 0 if the target was never ejected. */
   ejectedUntilMs: number;
   ejectionCause: EjectionCause | undefined;
-  /** Ejections in a row; doubles the time of the next one. */
+  /** Consecutive ejections; each doubles the duration of the next one. */
   ejections: number;
-  /** Beginning of its warm-up; 0 for one that was there from the start. */
+  /** Start of the warm-up; undefined for a target that needs none. */
   warmingSinceMs: number | undefined;
 }
 
@@ -42,10 +42,10 @@
   };
 }
 
-/** The mean of few samples at first, then exponentially weighted. */
-export function computeSmoothed(known: number, samples: number, sample: number): number {
-  const weight = Math.max(WEIGHT, 1 / (samples + 1));
-  return known + (sample - known) * weight;
+/** Computes the arithmetic mean of the first samples, then an exponentially weighted mean. */
+export function computeSmoothed(mean: number, samples: number, sample: number): number {
+  const weight = Math.max(SAMPLE_WEIGHT, 1 / (samples + 1));
+  return mean + (sample - mean) * weight;
 }
 
 export function computeDecay(sinceMs: number, nowMs: number): number {
