--- a/packages/sequoiarill-decisions/src/__tests__/rollouts.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/rollouts.test.ts
@@ -13,9 +13,9 @@
   return { id, version, startedAtUnixMs, service: 'orders', warmupLeftMs: 0 };
 }
 
-const OLD = ['a', 'b', 'c', 'd'].map((id) => createTarget(id, 'v1'));
-const FRESH = ['e', 'f', 'g', 'h'].map((id) => createTarget(id, 'v2', 2));
-const ALL = [...FRESH, ...OLD];
+const OLD_TARGETS = ['a', 'b', 'c', 'd'].map((id) => createTarget(id, 'v1'));
+const NEW_TARGETS = ['e', 'f', 'g', 'h'].map((id) => createTarget(id, 'v2', 2));
+const ALL_TARGETS = [...NEW_TARGETS, ...OLD_TARGETS];
 
 const CANARY: RolloutSplit = {
   phase: 'canary',
@@ -26,36 +26,38 @@
 };
 
 function listVersions(split: RolloutSplit | undefined, draw: number): readonly string[] {
-  const versions = Splits.selectVersion(ALL, split, draw).map(({ version }) => version);
+  const versions = Splits.selectVersion(ALL_TARGETS, split, draw).map(({ version }) => version);
   return [...new Set(versions)];
 }
 
-describe('the split between versions', () => {
-  it('sends nothing to a version that appears before its order is known', () => {
+describe('rolloutSplit', () => {
+  it('sends nothing to a version whose targets appear before its roll-out order is known', () => {
     expect(listVersions(undefined, 0)).toEqual(['v1']);
   });
 
-  it('sends the share to as few targets as it loads like the old ones', () => {
-    expect(Splits.selectVersion(ALL, CANARY, 0.05).length).toEqual(1);
+  it('sends the share to so few targets that their load equals that of the old ones', () => {
+    expect(Splits.selectVersion(ALL_TARGETS, CANARY, 0.05).length).toEqual(1);
     expect(listVersions(CANARY, 0.05)).toEqual(['v2']);
     expect(listVersions(CANARY, 0.1)).toEqual(['v1']);
   });
 
-  it('leaves out a new target that is bad by itself', () => {
-    const [first] = Splits.selectVersion(ALL, CANARY, 0);
+  it('excludes a new target that is bad on its own', () => {
+    const [first] = Splits.selectVersion(ALL_TARGETS, CANARY, 0);
     const avoided = new Set([first?.id ?? '']);
-    expect(Splits.selectVersion(ALL, { ...CANARY, avoided }, 0)).not.toEqual([]);
-    expect(Splits.selectVersion(ALL, { ...CANARY, avoided }, 0)[0]?.id).not.toEqual(first?.id);
+    expect(Splits.selectVersion(ALL_TARGETS, { ...CANARY, avoided }, 0)).not.toEqual([]);
+    expect(Splits.selectVersion(ALL_TARGETS, { ...CANARY, avoided }, 0)[0]?.id).not.toEqual(
+      first?.id,
+    );
   });
 
-  it('never goes back to the old version after the end, nor to a bad one', () => {
+  it('never selects the old version after completion, nor a bad one after the rollback', () => {
     expect(listVersions({ ...CANARY, phase: 'completed' }, 0.9)).toEqual(['v2']);
     expect(listVersions({ ...CANARY, phase: 'rolledBack' }, 0)).toEqual(['v1']);
-    const gone = Splits.selectVersion(FRESH, { ...CANARY, phase: 'rolledBack' }, 0);
-    expect(gone).toEqual([]);
+    const remaining = Splits.selectVersion(NEW_TARGETS, { ...CANARY, phase: 'rolledBack' }, 0);
+    expect(remaining).toEqual([]);
   });
 
-  it('lets work in progress leave the version that is to stop', () => {
+  it('reports which version work in progress has to leave', () => {
     expect(Splits.isVersionLeaving('v1', { ...CANARY, phase: 'moving' })).toEqual(true);
     expect(Splits.isVersionLeaving('v2', { ...CANARY, phase: 'moving' })).toEqual(false);
     expect(Splits.isVersionLeaving('v1', CANARY)).toEqual(false);
@@ -95,48 +97,51 @@
 const OLD_WRITES = createTally('writes', undefined, { good: 980, failures: 20 });
 const OLD_READS = createTally('reads', undefined, { good: 980, failures: 20 });
 
-function decideVerdict(...fresh: readonly VersionCounts[]) {
+function computeResult(...newCounts: readonly VersionCounts[]) {
   return RolloutAssessments.computeRolloutAssessment(
-    [OLD_WRITES, OLD_READS, ...fresh],
-    FRESH.length,
+    [OLD_WRITES, OLD_READS, ...newCounts],
+    NEW_TARGETS.length,
   ).result;
 }
 
-describe('the verdict on a version', () => {
+describe('rolloutAssessment', () => {
   it('is bad when two targets fail on one route only', () => {
     const sound = createTally('writes', 'e', { good: 60 });
     const bad = ['e', 'f'].map((id) => createTally('reads', id, { good: 6, failures: 6 }));
-    expect(decideVerdict(sound, ...bad)).toEqual('bad');
+    expect(computeResult(sound, ...bad)).toEqual('bad');
   });
 
-  it('is bad by slow answers, also before they are there', () => {
+  it('is bad for slow answers, including overdue ones that have not arrived', () => {
     const slow = ['e', 'f'].map((id) => createTally('reads', id, { good: 6, slow: 6 }));
-    expect(decideVerdict(...slow)).toEqual('bad');
+    expect(computeResult(...slow)).toEqual('bad');
     const overdue = ['e', 'f'].map((id) => createTally('reads', id, { good: 6, waiting: 6 }));
-    expect(decideVerdict(...overdue)).toEqual('bad');
+    expect(computeResult(...overdue)).toEqual('bad');
   });
 
-  it('does not blame the version for one target, once others are sound', () => {
+  it('does not attribute one bad target to the version once others are sound', () => {
     const failing = createTally('reads', 'e', { good: 5, failures: 15 });
-    expect(decideVerdict(failing)).toEqual('doubtful');
+    expect(computeResult(failing)).toEqual('doubtful');
     const others = ['f', 'g'].map((id) => createTally('reads', id, { good: 10 }));
-    const judged = RolloutAssessments.computeRolloutAssessment(
+    const assessment = RolloutAssessments.computeRolloutAssessment(
       [OLD_READS, failing, ...others],
-      FRESH.length,
+      NEW_TARGETS.length,
     );
-    expect([judged.result, judged.avoided]).toEqual(['sound', ['e']]);
+    expect([assessment.result, assessment.avoided]).toEqual(['sound', ['e']]);
   });
 
-  it('does not blame the version for failures that the old one has too', () => {
-    const old = createTally('reads', undefined, { good: 600, failures: 400 });
-    const fresh = ['e', 'f', 'g'].map((id) => createTally('reads', id, { good: 12, failures: 8 }));
+  it('does not attribute failures to the version that the old one has too', () => {
+    const oldCounts = createTally('reads', undefined, { good: 600, failures: 400 });
+    const newCounts = ['e', 'f', 'g'].map((id) =>
+      createTally('reads', id, { good: 12, failures: 8 }),
+    );
     expect(
-      RolloutAssessments.computeRolloutAssessment([old, ...fresh], FRESH.length).result,
+      RolloutAssessments.computeRolloutAssessment([oldCounts, ...newCounts], NEW_TARGETS.length)
+        .result,
     ).toEqual('sound');
   });
 
-  it('says so when nothing of the version was seen', () => {
-    expect(decideVerdict()).toEqual('unseen');
+  it('is unseen while there are no answers of the version', () => {
+    expect(computeResult()).toEqual('unseen');
   });
 });
 
@@ -163,8 +168,8 @@
   return Plans.decideRolloutStep({ ...SITUATION, ...change }, LIMITS)?.phase;
 }
 
-describe('the plan of a roll-out', () => {
-  it('keeps the share of a version small until late, and within what is allowed', () => {
+describe('rolloutPlan', () => {
+  it('keeps the share of a version small until late, and within the limits', () => {
     expect(decidePhase({})).toEqual(undefined);
     expect(decidePhase({ elapsedMs: 8_000 })).toEqual('trial');
     const few = Plans.decideRolloutStep({ ...SITUATION, requests: 60 }, LIMITS);
@@ -174,20 +179,20 @@
     expect((few?.share ?? 1) * expected < allowed).toEqual(true);
   });
 
-  it('goes forward only with most routers heard, and back with any', () => {
+  it('advances only with reports from a majority of routers, but rolls back without', () => {
     expect(decidePhase({ elapsedMs: 8_000, hasQuorum: false })).toEqual(undefined);
     const bad = { ...SOUND, result: 'bad', route: 'reads' } as const;
     expect(decidePhase({ assessment: bad, hasQuorum: false })).toEqual('rolledBack');
   });
 
-  it('does not complete while an order is at a target that would stop at once', () => {
+  it('does not complete while an order is in progress at a target that would stop at once', () => {
     const moving = { phase: 'moving', phaseMs: 3_000, elapsedMs: 11_500 } as const;
     expect(decidePhase({ ...moving, leaving: 1 })).toEqual(undefined);
     expect(decidePhase(moving)).toEqual('completed');
     expect(decidePhase({ ...moving, leaving: 1, canHandOver: true })).toEqual('completed');
   });
 
-  it('rolls back what is doubtful or unseen when time is up, and finishes what is sound', () => {
+  it('rolls back a doubtful or unseen version at the deadline, and continues a sound one', () => {
     const doubtful = { ...SOUND, result: 'doubtful', route: 'reads' } as const;
     expect(decidePhase({ elapsedMs: 11_500, assessment: doubtful })).toEqual('rolledBack');
     expect(decidePhase({ elapsedMs: 11_500 })).toEqual('trial');
--- a/packages/sequoiarill-decisions/src/rolloutAssessment.ts
+++ b/packages/sequoiarill-decisions/src/rolloutAssessment.ts
@@ -1,47 +1,47 @@
 /**
- * Whether a new version answers worse than the one it replaces, by what all routers saw together.
+ * Assesses from the answers counted by all routers whether a new version is worse than the one it replaces.
  *
- * Load pattern: a few answers a second of the new version, beside many of the old one, on days when targets
- * crash, fail or are slow for other reasons. A fixed limit on failures is too late where answers are few and
- * too early where many fail anyway. So each route is a sequential test against the old version's own
- * rate of bad answers at the same time, and no single target can decide it.
+ * Load pattern: the new version gives a few answers a second and the old one many, while targets also
+ * crash, fail or slow down for unrelated reasons. A fixed limit on failures reacts too late with few
+ * answers and too early where many fail anyway. So each route is a sequential probability ratio test
+ * against the old version's rate of bad answers in the same period, and no single target can decide it.
  */
 import type { VersionCounts } from '@sequoiarill/types';
 
 export interface RolloutAssessment {
   readonly result: 'bad' | 'doubtful' | 'sound' | 'unseen';
-  /** The route that decided. */
+  /** The route with the strongest evidence against the version. */
   readonly route?: string;
   /** Answers of the new version. */
   readonly answers: number;
   /** Those that failed or were much slower than the old version's. */
   readonly badAnswers: number;
-  /** Targets of the new version that are bad by themselves. */
+  /** Targets of the new version whose own answers are conclusively bad. */
   readonly avoided: readonly string[];
 }
 
-/** Two classes for each doubling. */
+/** Latency classes for each doubling of the latency. */
 const CLASSES_PER_DOUBLING = 2;
 export const LATENCY_CLASS_COUNT = 16;
-/** The first class ends at this share of the objective. */
+/** Lower end of the latency scale, as a share of the objective. */
 const FIRST_CLASS_SHARE = 1 / 64;
 
-/** Evidence, in natural logarithms of likelihood ratios, at which a version is bad: 1 in 200 by chance. */
-const BAD_EVIDENCE = 5.3;
-/** Evidence above which a version is not called sound. */
-const DOUBT_EVIDENCE = 1.5;
+/** Evidence (natural logarithm of the likelihood ratio) from which a version is bad: 1 in 200 by chance. */
+const MIN_BAD_EVIDENCE = 5.3;
+/** Evidence above which a version is not sound. */
+const MAX_SOUND_EVIDENCE = 1.5;
 const MIN_BAD_ANSWERS = 4;
-/** A bad version has at least this share of bad answers beyond the old one's. */
+/** Hypothesis of a bad version: this share of the answers that would otherwise be good are bad. */
 const BAD_EXCESS = 0.25;
-/** Bad answers and answers that are assumed of the old version before it has shown any. */
-const PRIOR_BAD = 1;
+/** Prior counts of the old version, which apply before it has answers of its own. */
+const PRIOR_BAD_ANSWERS = 1;
 const PRIOR_ANSWERS = 20;
-const MIN_RATE = 0.02;
-const MAX_RATE = 0.6;
-/** Share of the old version's answers above which one counts as slow. */
-const SLOW_SHARE = 0.1;
-/** Answers of the old version without which none is called slow. */
-const MIN_COMPARED = 10;
+const MIN_BASELINE_RATE = 0.02;
+const MAX_BASELINE_RATE = 0.6;
+/** At most this share of the old version's answers counts as slow. */
+const MAX_SLOW_SHARE = 0.1;
+/** Minimum answers of the old version for any answer to count as slow. */
+const MIN_COMPARED_ANSWERS = 10;
 
 export function computeLatencyClass(latencyMs: number, objectiveMs: number): number {
   const ratio = Math.max(latencyMs / objectiveMs / FIRST_CLASS_SHARE, 1);
@@ -49,10 +49,10 @@
 }
 
 function countGood(tallies: readonly VersionCounts[]): number {
-  return tallies.reduce((sum, { byLatency }) => sum + countAll(byLatency), 0);
+  return tallies.reduce((sum, { byLatency }) => sum + computeSum(byLatency), 0);
 }
 
-function countAll(counts: readonly number[]): number {
+function computeSum(counts: readonly number[]): number {
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
@@ -60,14 +60,14 @@
   return tallies.reduce((sum, { failures }) => sum + failures, 0);
 }
 
-/** Answers in this class and above count as slow: only a few of the old version are. */
+/** Returns the lowest class that counts as slow, chosen so that few answers of the old version do. */
 function findSlowClass(old: readonly VersionCounts[]): number {
   const total = countGood(old);
-  if (total < MIN_COMPARED) return LATENCY_CLASS_COUNT;
+  if (total < MIN_COMPARED_ANSWERS) return LATENCY_CLASS_COUNT;
   let above = total;
   for (let index = 0; index < LATENCY_CLASS_COUNT; index += 1) {
     above -= old.reduce((sum, { byLatency }) => sum + (byLatency[index] ?? 0), 0);
-    if (above <= total * SLOW_SHARE) return index + 1;
+    if (above <= total * MAX_SLOW_SHARE) return index + 1;
   }
   return LATENCY_CLASS_COUNT;
 }
@@ -80,12 +80,15 @@
 function countBad(tallies: readonly VersionCounts[], slowClass: number): Count {
   const failures = countFailures(tallies);
   const slow = tallies.reduce(
-    (sum, { byLatency }) => sum + countAll(byLatency.slice(slowClass)),
+    (sum, { byLatency }) => sum + computeSum(byLatency.slice(slowClass)),
     0,
   );
-  // Slow answers come late: those that are overdue count before they are there.
-  const due = tallies.reduce((sum, { waiting }) => sum + countAll(waiting.slice(slowClass)), 0);
-  return { answers: failures + countGood(tallies) + due, bad: failures + slow + due };
+  // Requests that have waited for a slow class count as bad before their answer arrives.
+  const overdue = tallies.reduce(
+    (sum, { waiting }) => sum + computeSum(waiting.slice(slowClass)),
+    0,
+  );
+  return { answers: failures + countGood(tallies) + overdue, bad: failures + slow + overdue };
 }
 
 function mergeCounts(counts: readonly Count[]): Count {
@@ -95,16 +98,19 @@
   );
 }
 
-/** Logarithm of how much likelier the answers are from a bad version than from one like the old. */
+/** Log-likelihood ratio of the answers coming from a bad version rather than one like the old version. */
 function computeEvidence({ answers, bad }: Count, old: Count): number {
-  const rate = (old.bad + PRIOR_BAD) / (old.answers + PRIOR_ANSWERS);
-  const usual = Math.min(MAX_RATE, Math.max(MIN_RATE, rate));
-  const raised = usual + BAD_EXCESS * (1 - usual);
-  return bad * Math.log(raised / usual) + (answers - bad) * Math.log((1 - raised) / (1 - usual));
+  const rate = (old.bad + PRIOR_BAD_ANSWERS) / (old.answers + PRIOR_ANSWERS);
+  const baselineRate = Math.min(MAX_BASELINE_RATE, Math.max(MIN_BASELINE_RATE, rate));
+  const badRate = baselineRate + BAD_EXCESS * (1 - baselineRate);
+  return (
+    bad * Math.log(badRate / baselineRate) +
+    (answers - bad) * Math.log((1 - badRate) / (1 - baselineRate))
+  );
 }
 
-function isProof(evidence: number, { bad }: Count): boolean {
-  return bad >= MIN_BAD_ANSWERS && evidence >= BAD_EVIDENCE;
+function isConclusive(evidence: number, { bad }: Count): boolean {
+  return bad >= MIN_BAD_ANSWERS && evidence >= MIN_BAD_EVIDENCE;
 }
 
 interface RouteCounts {
@@ -127,8 +133,8 @@
   for (const tally of tallies) {
     const { target } = tally;
     if (target !== undefined) {
-      const known = byTarget.get(target) ?? { answers: 0, bad: 0 };
-      byTarget.set(target, mergeCounts([known, countBad([tally], slowClass)]));
+      const existing = byTarget.get(target) ?? { answers: 0, bad: 0 };
+      byTarget.set(target, mergeCounts([existing, countBad([tally], slowClass)]));
     }
   }
   return { route, old: countBad(oldTallies, slowClass), byTarget };
@@ -136,7 +142,7 @@
 
 function listBadTargets(routes: readonly RouteCounts[]): readonly string[] {
   const bad = routes.flatMap(({ old, byTarget }) =>
-    [...byTarget].filter(([, count]) => isProof(computeEvidence(count, old), count)),
+    [...byTarget].filter(([, count]) => isConclusive(computeEvidence(count, old), count)),
   );
   return [...new Set(bad.map(([target]) => target))];
 }
@@ -158,34 +164,37 @@
   return { route, count, evidence: computeEvidence(count, old) };
 }
 
-/** One route alone, or all together. */
-function isAnyProof(judged: readonly RouteEvidence[]): boolean {
-  const evidence = judged.reduce((sum, one) => sum + one.evidence, 0);
-  const all = mergeCounts(judged.map(({ count }) => count));
-  return isProof(evidence, all) || judged.some((one) => isProof(one.evidence, one.count));
+/** Whether the evidence of one route alone, or of all routes together, is conclusive. */
+function isAnyConclusive(routeEvidence: readonly RouteEvidence[]): boolean {
+  const evidence = routeEvidence.reduce((sum, one) => sum + one.evidence, 0);
+  const all = mergeCounts(routeEvidence.map(({ count }) => count));
+  return (
+    isConclusive(evidence, all) ||
+    routeEvidence.some((one) => isConclusive(one.evidence, one.count))
+  );
 }
 
-/** `targetCount`: targets that the new version has. */
+/** `targetCount`: number of targets of the new version. */
 export function computeRolloutAssessment(
   tallies: readonly VersionCounts[],
   targetCount: number,
 ): RolloutAssessment {
   const names = [...new Set(tallies.map(({ route }) => route))];
   const routes = names.map((route) => countRoute(route, tallies));
-  const fresh = mergeCounts(routes.flatMap(({ byTarget }) => [...byTarget.values()]));
+  const newCounts = mergeCounts(routes.flatMap(({ byTarget }) => [...byTarget.values()]));
   const avoided = listBadTargets(routes);
-  const counts = { answers: fresh.answers, badAnswers: fresh.bad, avoided };
-  if (fresh.answers === 0) return { result: 'unseen', ...counts };
-  // Failure: one new target crashes or fails by itself, and a sound version is rolled back for it.
+  const counts = { answers: newCounts.answers, badAnswers: newCounts.bad, avoided };
+  if (newCounts.answers === 0) return { result: 'unseen', ...counts };
+  // Without the exclusion, one new target that fails for its own reasons would roll back a sound version.
   const excluded = targetCount > 1 ? findWorstTarget(routes) : undefined;
-  const judged = routes.map((one) => computeRouteEvidence(one, excluded));
-  const [worst] = [...judged].sort((left, right) => right.evidence - left.evidence);
+  const routeEvidence = routes.map((one) => computeRouteEvidence(one, excluded));
+  const [worst] = [...routeEvidence].sort((left, right) => right.evidence - left.evidence);
   const route = worst?.route ?? '';
-  const evidence = judged.reduce((sum, one) => sum + one.evidence, 0);
+  const evidence = routeEvidence.reduce((sum, one) => sum + one.evidence, 0);
   const areTargetsBad = avoided.length >= Math.min(2, targetCount);
-  if (areTargetsBad || isAnyProof(judged)) return { result: 'bad', route, ...counts };
-  // After one target was bad the others have to show that it was the target alone.
-  const isAlone = avoided.length === 0 || evidence < -DOUBT_EVIDENCE;
-  const isSound = isAlone && (worst?.evidence ?? 0) <= DOUBT_EVIDENCE;
+  if (areTargetsBad || isAnyConclusive(routeEvidence)) return { result: 'bad', route, ...counts };
+  // When one target was bad, the others have to show that only this target is at fault.
+  const isTargetOnly = avoided.length === 0 || evidence < -MAX_SOUND_EVIDENCE;
+  const isSound = isTargetOnly && (worst?.evidence ?? 0) <= MAX_SOUND_EVIDENCE;
   return { result: isSound ? 'sound' : 'doubtful', route, ...counts };
 }
--- a/packages/sequoiarill-decisions/src/rolloutPlan.ts
+++ b/packages/sequoiarill-decisions/src/rolloutPlan.ts
@@ -1,9 +1,9 @@
 /**
- * When a roll-out goes on, is completed or rolled back.
+ * Decides when a roll-out advances, is completed or is rolled back.
  *
- * Load pattern: a version that turns bad late, or only under load. Whoever raises its share in even steps has
- * given it half of the requests by then. So the share stays small for most of the time there is, then some
- * of its targets are loaded as usual for a short trial, and everything moves as late as it can end in time.
+ * Load pattern: a version turns bad late, or only under load. If its share is raised in even steps, it gets
+ * half of the requests by then. So the share stays small for most of the available time, then a few of the
+ * new targets get normal load for a short trial, and all requests move as late as the deadline allows.
  */
 import type { RolloutPhase } from '@sequoiarill/types';
 
@@ -13,32 +13,32 @@
   readonly phase: RolloutPhase;
   /** Share of the requests that goes to the version now. */
   readonly share: number;
-  /** Since the order, milliseconds. */
+  /** Time since the roll-out was ordered, milliseconds. */
   readonly elapsedMs: number;
-  /** Since the phase began, milliseconds. */
+  /** Time since the phase began, milliseconds. */
   readonly phaseMs: number;
   readonly durationMs: number;
-  /** The version is the one in service. */
+  /** The version is already the one in service. */
   readonly isInService: boolean;
   readonly assessment: RolloutAssessment;
   /** Targets of the version that are ready. */
   readonly targetCount: number;
-  /** Requests of the service so far, over all routers. */
+  /** Requests of the service since the roll-out was ordered, over all routers. */
   readonly requests: number;
-  /** Requests in progress at the version that is replaced, over all routers. */
+  /** Requests in progress at targets that are being replaced, over all routers. */
   readonly leaving: number;
-  /** Work in progress can go on at another target without being run again. */
+  /** Work in progress can continue at another target without being repeated. */
   readonly canHandOver: boolean;
-  /** Most of the routers have reported lately. */
+  /** A majority of the routers has reported recently. */
   readonly hasQuorum: boolean;
-  /** Pause between two reports of a router, milliseconds. */
+  /** Interval between two reports of a router, milliseconds. */
   readonly intervalMs: number;
 }
 
 export interface RolloutLimits {
-  /** Of the requests, that a bad version may get. */
+  /** Share of the requests that a bad version may get. */
   readonly canaryShare: number;
-  /** Requests that it may get besides. */
+  /** Number of requests that it may get in addition. */
   readonly canarySlack: number;
 }
 
@@ -53,88 +53,96 @@
   limits: RolloutLimits,
 ) => RolloutStep | undefined;
 
-/** Parts of what a bad version may get that are risked on purpose. */
-const SHARE_PART = 0.6;
-const SLACK_PART = 0.4;
+/** Fractions of the limits that the canary deliberately uses. */
+const CANARY_SHARE_FRACTION = 0.6;
+const CANARY_SLACK_FRACTION = 0.4;
 const MAX_CANARY_SHARE = 0.25;
-/** A share that differs less than this from the one in force is left, as a part of it. */
-const SHARE_CHANGE = 0.3;
-/** Requests from which the rate of a service is told. */
+/** A new share is applied only if it differs from the current one by more than this fraction. */
+const MIN_RELATIVE_SHARE_CHANGE = 0.3;
+/** Minimum requests to estimate the request rate of a service. */
 const MIN_REQUESTS = 30;
-/** A trial loads this many targets as usual, within these shares of the requests. */
+/** A trial gives this many targets their normal load, within these bounds on the share of requests. */
 const TRIAL_TARGETS = 2;
 const MIN_TRIAL_SHARE = 0.2;
 const MAX_TRIAL_SHARE = 0.34;
-/** Time that a trial takes, as a part of the whole, and its bounds in milliseconds. */
-const TRIAL_PART = 0.12;
+/** Duration of a trial as a fraction of the roll-out, and its bounds. */
+const TRIAL_FRACTION = 0.12;
 const MIN_TRIAL_MS = 1_000;
 const MAX_TRIAL_MS = 4_000;
-/** Time to move everything, as a part of the whole, and its bounds in milliseconds. */
-const MOVE_PART = 0.2;
+/** Time to move all requests as a fraction of the roll-out, and its bounds. */
+const MOVE_FRACTION = 0.2;
 const MIN_MOVE_MS = 1_500;
-const MAX_PLAIN_MOVE_MS = 2_000;
-const MAX_STREAM_MOVE_MS = 8_000;
-/** An order is known this late, and the end is to be written this early, milliseconds. */
-const MARGIN_MS = 1_200;
-/** Each of two steps is known to all routers, and judged by all, about an interval late. */
-const MARGIN_INTERVALS = 1.5;
-
-function computeWithin(value: number, low: number, high: number): number {
+const MAX_DRAIN_MOVE_MS = 2_000;
+const MAX_HANDOVER_MOVE_MS = 8_000;
+/** Covers the delay until the order is known and the time to write the completion before the deadline. */
+const DEADLINE_MARGIN_MS = 1_200;
+/** Report intervals until the last two steps have reached all routers and been reported by them. */
+const PROPAGATION_INTERVALS = 1.5;
+
+function computeClamped(value: number, low: number, high: number): number {
   return Math.min(high, Math.max(low, value));
 }
 
-/** The share that uses up a set part of what a bad version may get. */
+/** Share of requests at which the canary uses the intended fraction of the limits. */
 function computeCanaryShare(
   { requests, elapsedMs, durationMs }: RolloutSituation,
   { canaryShare, canarySlack }: RolloutLimits,
 ): number {
-  const safe = canaryShare * SHARE_PART;
-  if (requests < MIN_REQUESTS) return safe;
-  const expected = (requests / elapsedMs) * durationMs;
-  return Math.min(MAX_CANARY_SHARE, safe + (canarySlack * SLACK_PART) / expected);
+  const baseShare = canaryShare * CANARY_SHARE_FRACTION;
+  if (requests < MIN_REQUESTS) return baseShare;
+  const expectedRequests = (requests / elapsedMs) * durationMs;
+  return Math.min(
+    MAX_CANARY_SHARE,
+    baseShare + (canarySlack * CANARY_SLACK_FRACTION) / expectedRequests,
+  );
 }
 
 function computeTrialMs({ durationMs }: RolloutSituation): number {
-  return computeWithin(durationMs * TRIAL_PART, MIN_TRIAL_MS, MAX_TRIAL_MS);
+  return computeClamped(durationMs * TRIAL_FRACTION, MIN_TRIAL_MS, MAX_TRIAL_MS);
 }
 
 function computeMoveMs({ durationMs, canHandOver }: RolloutSituation): number {
-  const longest = canHandOver ? MAX_STREAM_MOVE_MS : MAX_PLAIN_MOVE_MS;
-  return computeWithin(durationMs * MOVE_PART, MIN_MOVE_MS, longest);
+  const longest = canHandOver ? MAX_HANDOVER_MOVE_MS : MAX_DRAIN_MOVE_MS;
+  return computeClamped(durationMs * MOVE_FRACTION, MIN_MOVE_MS, longest);
 }
 
 function decideCanary(situation: RolloutSituation, limits: RolloutLimits): RolloutStep | undefined {
-  const { elapsedMs, durationMs, share, assessment: judgement, targetCount } = situation;
-  const marginMs = MARGIN_MS + situation.intervalMs * MARGIN_INTERVALS;
+  const { elapsedMs, durationMs, share, assessment, targetCount } = situation;
+  const marginMs = DEADLINE_MARGIN_MS + situation.intervalMs * PROPAGATION_INTERVALS;
   const trialAtMs = durationMs - marginMs - computeMoveMs(situation) - computeTrialMs(situation);
   const isDue = elapsedMs >= trialAtMs;
-  const isSound = judgement.result === 'sound' && targetCount > 0;
+  const isSound = assessment.result === 'sound' && targetCount > 0;
   if (isDue && isSound) {
-    const trialShare = computeWithin(TRIAL_TARGETS / targetCount, MIN_TRIAL_SHARE, MAX_TRIAL_SHARE);
+    const trialShare = computeClamped(
+      TRIAL_TARGETS / targetCount,
+      MIN_TRIAL_SHARE,
+      MAX_TRIAL_SHARE,
+    );
     return { phase: 'trial', share: Math.max(share, trialShare), reason: 'sound so far' };
   }
-  const next = computeCanaryShare(situation, limits);
-  if (Math.abs(next - share) <= share * SHARE_CHANGE) return undefined;
-  return { phase: 'canary', share: next, reason: 'the rate of requests is known' };
+  const nextShare = computeCanaryShare(situation, limits);
+  if (Math.abs(nextShare - share) <= share * MIN_RELATIVE_SHARE_CHANGE) return undefined;
+  return { phase: 'canary', share: nextShare, reason: 'the rate of requests is known' };
 }
 
 function decideTrial(situation: RolloutSituation): RolloutStep | undefined {
-  const { phaseMs, assessment: judgement } = situation;
+  const { phaseMs, assessment } = situation;
   const isOver = phaseMs >= computeTrialMs(situation);
-  if (!isOver || judgement.result !== 'sound') return undefined;
+  if (!isOver || assessment.result !== 'sound') return undefined;
   return { phase: 'moving', share: 1, reason: 'sound under usual load' };
 }
 
 /**
- * Failure: a version is completed while requests are at targets that stop at once, and orders are cut.
- * Streams that go on elsewhere need not be waited for beyond the time there is.
+ * Targets of the old version may stop as soon as the roll-out is completed, which would cut orders in
+ * progress, so completion waits for them. Streams that can be handed over are not waited for beyond the
+ * deadline.
  */
 function decideMoving(situation: RolloutSituation): RolloutStep | undefined {
   const { leaving, elapsedMs, durationMs, canHandOver, phaseMs } = situation;
-  const isDue = canHandOver && elapsedMs >= durationMs - MARGIN_MS;
-  // Routers hear of the phase within this time, and only then stop sending there.
-  const isKnown = phaseMs >= MIN_MOVE_MS;
-  if (!isKnown || (leaving > 0 && !isDue)) return undefined;
+  const isDue = canHandOver && elapsedMs >= durationMs - DEADLINE_MARGIN_MS;
+  // All routers learn of the phase within this time; until then some still send to the old version.
+  const isPropagated = phaseMs >= MIN_MOVE_MS;
+  if (!isPropagated || (leaving > 0 && !isDue)) return undefined;
   return {
     phase: 'completed',
     share: 1,
@@ -153,33 +161,33 @@
   situation: RolloutSituation,
   limits: RolloutLimits,
 ): RolloutStep | undefined {
-  const { phase, hasQuorum: isQuorate } = situation;
-  if (!isQuorate) return undefined;
+  const { phase, hasQuorum } = situation;
+  if (!hasQuorum) return undefined;
   if (phase === 'canary') return decideCanary(situation, limits);
   return phase === 'trial' ? decideTrial(situation) : decideMoving(situation);
 }
 
-/** Undefined: everything stays as it is. */
+/** Returns undefined if nothing changes. */
 export function decideRolloutStep(
   situation: RolloutSituation,
   limits: RolloutLimits,
 ): RolloutStep | undefined {
-  const { phase, assessment: judgement, isInService, elapsedMs, durationMs } = situation;
+  const { phase, assessment, isInService, elapsedMs, durationMs } = situation;
   if (phase === 'completed' || phase === 'rolledBack') return undefined;
   if (isInService) return decideInService(situation);
   if (phase === 'ordered') {
-    const share = limits.canaryShare * SHARE_PART;
+    const share = limits.canaryShare * CANARY_SHARE_FRACTION;
     return { phase: 'canary', share, reason: 'it was ordered' };
   }
-  const { result: verdict, route } = judgement;
-  const isSound = verdict === 'sound';
-  if (verdict === 'bad') {
+  const { result, route } = assessment;
+  const isSound = result === 'sound';
+  if (result === 'bad') {
     return { phase: 'rolledBack', share: 0, reason: `bad answers on ${route ?? 'a route'}` };
   }
-  const isTimeUp = elapsedMs >= durationMs - MARGIN_MS;
-  // A sound version that was held up goes on, if late.
+  const isTimeUp = elapsedMs >= durationMs - DEADLINE_MARGIN_MS;
+  // A sound version that was delayed still proceeds after the deadline.
   if (!isSound && isTimeUp) {
-    return { phase: 'rolledBack', share: 0, reason: `${verdict} when time was up` };
+    return { phase: 'rolledBack', share: 0, reason: `${result} when time was up` };
   }
   return phase === 'moving' && !isSound ? undefined : decideForward(situation, limits);
 }
--- a/packages/sequoiarill-decisions/src/rolloutSplit.ts
+++ b/packages/sequoiarill-decisions/src/rolloutSplit.ts
@@ -1,9 +1,9 @@
 /**
- * Which versions of a service a request may go to.
+ * Selects the version of a service that a request goes to.
  *
- * Load pattern: usual load, of which a small share is risked on a new version. Spread over all new targets
- * the share leaves each of them nearly idle, and a fault under load shows only when everything has moved.
- * So few of them get it, each about as much as an old target.
+ * Load pattern: normal load, of which a small share goes to a new version. Spread over all new targets, the
+ * share would leave each of them nearly idle, and a fault under load would show only after all requests
+ * have moved. So only as many targets get it that each has about the load of an old target.
  */
 import type { RolloutPhase } from '@sequoiarill/types';
 
@@ -21,13 +21,13 @@
   readonly phase: RolloutPhase;
   readonly fromVersion: string;
   readonly toVersion: string;
-  /** Of the requests, while the version is on probation. */
+  /** Share of the requests that the version gets in the phases `canary` and `trial`. */
   readonly share: number;
-  /** Identities of targets of the version that are left out. */
+  /** Identities of targets of the version that get no requests. */
   readonly avoided: ReadonlySet<string>;
 }
 
-/** The version that most targets have, and of two the one that started first. */
+/** Finds the version with the most targets; among equals, the one whose first target started earliest. */
 export function findBaseVersion(
   targets: readonly VersionedTarget[],
   except?: string,
@@ -47,41 +47,41 @@
   return base?.[0];
 }
 
-/** Targets of the version that get its share of the requests. */
+/** Selects the targets of the new version that get its share of the requests. */
 export function selectCanaries<Target extends VersionedTarget>(
   targets: readonly Target[],
   { share, avoided }: Pick<RolloutSplit, 'share' | 'avoided'>,
 ): readonly Target[] {
   const warm = targets.filter(({ warmupLeftMs }) => warmupLeftMs === 0);
-  const trusted = (warm.length > 0 ? warm : targets).filter(({ id }) => !avoided.has(id));
-  const byId = new Map(trusted.map((target) => [target.id, target]));
+  const eligible = (warm.length > 0 ? warm : targets).filter(({ id }) => !avoided.has(id));
+  const byId = new Map(eligible.map((target) => [target.id, target]));
   const ranked = sortByRank([...byId.keys()], targets[0]?.service ?? '');
   const count = Math.max(1, Math.round(targets.length * share));
   return ranked.slice(0, count).flatMap((id) => byId.get(id) ?? []);
 }
 
-/** `split` is undefined where no roll-out was ever ordered: a version that nobody ordered gets nothing. */
+/** `split` is undefined if no roll-out was ever ordered; then only the base version gets requests. */
 export function selectVersion<Target extends VersionedTarget>(
   targets: readonly Target[],
   split: RolloutSplit | undefined,
   draw: number,
 ): readonly Target[] {
-  const selectOf = (version: string | undefined): readonly Target[] =>
+  const selectByVersion = (version: string | undefined): readonly Target[] =>
     targets.filter((target) => target.version === version);
-  if (split === undefined) return selectOf(findBaseVersion(targets));
+  if (split === undefined) return selectByVersion(findBaseVersion(targets));
   const { phase, fromVersion, toVersion, share } = split;
-  if (phase === 'completed') return selectOf(toVersion);
+  if (phase === 'completed') return selectByVersion(toVersion);
   if (phase === 'moving') {
-    const next = selectOf(toVersion);
-    return next.length > 0 ? next : selectOf(fromVersion);
+    const next = selectByVersion(toVersion);
+    return next.length > 0 ? next : selectByVersion(fromVersion);
   }
-  const isOnProbation = phase === 'canary' || phase === 'trial';
-  if (!isOnProbation || draw >= share) return selectOf(fromVersion);
-  const canaries = selectCanaries(selectOf(toVersion), split);
-  return canaries.length > 0 ? canaries : selectOf(fromVersion);
+  const isCanarying = phase === 'canary' || phase === 'trial';
+  if (!isCanarying || draw >= share) return selectByVersion(fromVersion);
+  const canaries = selectCanaries(selectByVersion(toVersion), split);
+  return canaries.length > 0 ? canaries : selectByVersion(fromVersion);
 }
 
-/** Whether work in progress at the version is to end or go on elsewhere. */
+/** Whether work in progress at the version has to end or continue at another version. */
 export function isVersionLeaving(
   version: string,
   { phase, fromVersion, toVersion }: RolloutSplit,
