--- a/packages/sequoiarill-decisions/src/enginePlacement.ts
+++ b/packages/sequoiarill-decisions/src/enginePlacement.ts
@@ -10,7 +10,7 @@
  * affect as well.
  */
 
-import * as Names from './names';
+import * as RendezvousHashing from './rendezvousHashing';
 
 /** State of one engine as it reported it in response to the query. */
 export interface EngineView {
@@ -116,9 +116,12 @@
   prompt: string,
   getSampleSize: (zone: string) => number,
 ): readonly Engine[] {
-  const digest = Names.hashName(prompt);
+  const digest = RendezvousHashing.hashName(prompt);
   const ranked = engines
-    .map((engine) => ({ engine, rank: Names.hashPair(Names.hashName(engine.id), digest) }))
+    .map((engine) => ({
+      engine,
+      rank: RendezvousHashing.hashPair(RendezvousHashing.hashName(engine.id), digest),
+    }))
     .sort((left, right) => right.rank - left.rank);
   const takenByZone = new Map<string, number>();
   return ranked
--- a/packages/sequoiarill-decisions/src/expectedWait.ts
+++ b/packages/sequoiarill-decisions/src/expectedWait.ts
@@ -6,7 +6,7 @@
  * report is combined with the work that was sent after it, loses weight with its age, and never
  * counts less than this router's own work at the target.
  */
-import type { TargetChoiceRequest, TargetView } from './targets';
+import type { TargetChoiceRequest, TargetView } from './targetChoiceTypes';
 
 /** A report has its full weight up to this age: the usual lag, within which little else changes. */
 const REPORT_FRESH_MS = 2_500;
--- a/packages/sequoiarill-decisions/src/fleetShares.ts
+++ b/packages/sequoiarill-decisions/src/fleetShares.ts
@@ -10,7 +10,7 @@
  * The sum of the shares stays at or below 1, apart from the error stated below: a router raises its
  * own claim only after its report has had time to reach all routers, and lowers it at once; the
  * claims of routers that stop reporting are kept until membership reports that the router ended;
- * and the sides of a network partition continue with the parts that they had (see partitionParts).
+ * and the sides of a network partition continue with the parts that they had (see partitionShares).
  *
  * Error in the steady state: the share that all routers reserve for new demand, `EVEN_SPLIT_SHARE`
  * in total, and as much again for demand that is too small to report. While the reported demand of
@@ -21,7 +21,7 @@
  */
 import * as Claims from './demandClaims';
 import * as DemandMatrices from './demandMatrix';
-import * as PartitionParts from './partitionParts';
+import * as PartitionShares from './partitionShares';
 
 /**
  * Share of a limit that is split evenly, so that a router without earlier demand can admit
@@ -96,7 +96,7 @@
   const claimsByOrganisation = new Map<string, Claims.DemandClaims>();
   const peerDemands = DemandMatrices.createDemandMatrix();
   const lastPositions = new Map<string, ReportPosition>();
-  const partitionParts = PartitionParts.createPartitionShares();
+  const partitionShares = PartitionShares.createPartitionShares();
   let sequence = 0;
 
   function recordDemand(organisation: string, tokens: number, nowMs: number): void {
@@ -162,7 +162,7 @@
   function splitDemand(
     organisation: string,
     routers: ReadonlySet<string>,
-  ): PartitionParts.SplitDemand {
+  ): PartitionShares.SplitDemand {
     let unreachable = 0;
     for (const router of routers) unreachable += peerDemands.getDemand(router, organisation);
     const reachablePeerDemand = Math.max(0, peerDemands.getTotal(organisation) - unreachable);
@@ -171,21 +171,21 @@
   }
 
   function setUnreachable(routers: ReadonlySet<string>, nowMs: number): void {
-    const previous = partitionParts.getUnreachable(nowMs);
+    const previous = partitionShares.getUnreachable(nowMs);
     const newlyLost = new Set([...routers].filter((router) => !previous.has(router)));
     const organisations = new Set([
       ...claimsByOrganisation.keys(),
       ...peerDemands.listOrganisations(),
     ]);
     const demands = [...organisations].map((name) => splitDemand(name, newlyLost));
-    partitionParts.setUnreachable(routers, options.getRouterCount(), demands, nowMs);
+    partitionShares.setUnreachable(routers, options.getRouterCount(), demands, nowMs);
   }
 
   function getShare(organisation: string, nowMs: number): number {
     const count = Math.max(1, options.getRouterCount());
     if (count === 1) return 1;
-    const part = partitionParts.getShare(organisation, nowMs);
-    const unreachable = partitionParts.getUnreachable(nowMs);
+    const part = partitionShares.getShare(organisation, nowMs);
+    const unreachable = partitionShares.getUnreachable(nowMs);
     const { reachable } = splitDemand(organisation, unreachable);
     const floor = EVEN_SPLIT_SHARE / count;
     const isLow = reachable < options.getLimit(organisation) * part * LOW_DEMAND_THRESHOLD;
--- a/packages/sequoiarill-decisions/src/index.ts
+++ b/packages/sequoiarill-decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions under load: pure, without network or clock. */
+/** Load-management decisions: pure functions and state machines without network or clock. */
 export * from './admission';
 export type * from './admissionTypes';
 export * from './answerDurations';
@@ -18,12 +18,12 @@
 export * from './rateLimitShares';
 export * from './streamAdmission';
 export * from './targetChooser';
-export type * from './targets';
+export type * from './targetChoiceTypes';
 export * from './fleetRetryBudget';
 export * from './fleetShares';
 export * from './latencyAdmission';
 export * from './suspectTracker';
-export { sortByRank } from './names';
+export { sortByRank } from './rendezvousHashing';
 export * from './availableTargets';
 export * from './outlierDetector';
 export type * from './outlierTypes';
--- a/packages/sequoiarill-decisions/src/simulation/policies.ts
+++ b/packages/sequoiarill-decisions/src/simulation/policies.ts
@@ -7,7 +7,7 @@
 import type { OutlierDetector as OutlierDecisions } from '../outlierTypes';
 import * as RetryBudget from '../retryBudget';
 import * as TargetChooser from '../targetChooser';
-import type { TargetChoiceRequest } from '../targets';
+import type { TargetChoiceRequest } from '../targetChoiceTypes';
 import { ENGINES, ROUTERS, SLOTS } from './patterns';
 
 /** Everything one router decides with. Absent parts are not decided at all. */
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -171,7 +171,9 @@
     const { life: incarnation } = limited;
     if (!isQueryDue(`${incarnation} wanted`)) return false;
     for (const peer of listOtherSenders(incarnation).slice(0, MAX_SENDERS_ASKED)) {
-      if (await acquireFrom(limited, peer, 1)) return shares.isSendAllowed(incarnation, clock.getNowMs());
+      if (await acquireFrom(limited, peer, 1)) {
+        return shares.isSendAllowed(incarnation, clock.getNowMs());
+      }
     }
     nextQueryAtMs.set(`${incarnation} wanted`, clock.getNowMs() + REFUSAL_DELAY_MS);
     return false;
--- a/packages/sequoiarill-plugin-rollouts/src/judge.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/judge.ts
@@ -78,7 +78,10 @@
     const targets = directory
       .listTargets(service)
       .filter(({ version, state }) => version === split.toVersion && state === 'ready');
-    const judgement = Decisions.computeRolloutAssessment(memory.reports.listTallies(), targets.length);
+    const judgement = Decisions.computeRolloutAssessment(
+      memory.reports.listTallies(),
+      targets.length,
+    );
     memory.avoided = new Set([...memory.avoided, ...judgement.avoided]);
     return { judgement, targetCount: targets.length };
   }
--- a/packages/sequoiarill-plugin-rollouts/src/play/strategies.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/play/strategies.ts
@@ -9,7 +9,15 @@
 
 /** Fixed steps with a judgement at each. */
 export const decideFixedStep: DecideRolloutStep = (situation, limits) => {
-  const { phase, share, assessment: judgement, elapsedMs, durationMs, isInService, hasQuorum: isQuorate } = situation;
+  const {
+    phase,
+    share,
+    assessment: judgement,
+    elapsedMs,
+    durationMs,
+    isInService,
+    hasQuorum: isQuorate,
+  } = situation;
   const isRising = phase === 'canary' || phase === 'trial';
   if (!isRising || isInService || judgement.result === 'bad' || !isQuorate) {
     return Decisions.decideRolloutStep(situation, limits);
