--- a/packages/sequoiarill-plugin-directory/src/__tests__/directoryState.test.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/directoryState.test.ts
@@ -7,29 +7,30 @@
 
 function createState() {
   let nowMs = 0;
-  const log = Fixtures.createEventLog();
+  const eventLog = Fixtures.createEventLog();
   const state = DirectoryStates.createDirectoryState({
     wire: Fixtures.WIRE,
-    logEvent: log.logEvent,
+    logEvent: eventLog.logEvent,
     getNowMs: () => nowMs,
   });
   const listIds = () => state.listTargets('engines').map(({ id }) => id);
-  const listStates = () => state.listTargets('engines').map(({ state: known }) => known);
+  const listStates = () =>
+    state.listTargets('engines').map(({ state: targetState }) => targetState);
   return {
     state,
-    log,
+    log: eventLog,
     listIds,
     listStates,
-    delay(ms: number) {
+    advanceClock(ms: number) {
       nowMs += ms;
     },
   };
 }
 
-describe('the state of the directory', () => {
-  it('never goes back to an older configuration, whoever brings it', () => {
-    // A peer that was cut off for a while answers with what it knew before. Taken in, callers would be
-    // served by routes and keys that operators had taken away.
+describe('directory state', () => {
+  it('never returns to an older configuration, whatever its source', () => {
+    // A peer that was cut off for a while responds with an outdated configuration. If it were
+    // applied, callers would be served by routes and keys that operators had removed.
     const { state } = createState();
     const value = Fixtures.createConfigurationText;
     state.applyRecords([{ key: 'configuration', revision: 9, value: value(7) }]);
@@ -39,81 +40,83 @@
     expect(state.getConfiguration()?.version).toEqual(7);
   });
 
-  it('keeps targets whose entries lapsed in an outage until they had time to come back', () => {
-    // The store was away for seconds and says at its return that all engines are gone. They live, and
-    // write their entries again within two seconds. Dropped at once, a whole service would be refused.
-    const { state, listIds, listStates, delay } = createState();
+  it('keeps targets whose entries lapsed in an outage until they had time to register again', () => {
+    // The store was unavailable for seconds, and then reports all engines as removed. They are
+    // running and write their entries again within two seconds. If they were dropped at once, all
+    // requests to the service would be refused.
+    const { state, listIds, listStates, advanceClock: delay } = createState();
     const value = Fixtures.createTargetText('10.0.0.1:1');
-    const other = Fixtures.createTargetText('10.0.0.2:1');
+    const otherValue = Fixtures.createTargetText('10.0.0.2:1');
     state.applyRecords([
       { key: 'targets/one', revision: 2, value },
-      { key: 'targets/two', revision: 3, value: other },
+      { key: 'targets/two', revision: 3, value: otherValue },
     ]);
-    state.holdRemovalsUntil(2_300);
-    state.applyAll([], 8);
+    state.delayRemovalsUntil(2_300);
+    state.applySnapshot([], 8);
     expect(listIds()).toEqual(['one', 'two']);
     expect(listStates()).toEqual(['unconfirmed', 'unconfirmed']);
     state.applyRecords([{ key: 'targets/one', revision: 9, value }]);
     expect(new Set(listStates())).toEqual(new Set(['ready', 'unconfirmed']));
     delay(2_400);
-    state.removeDue();
+    state.removeDueTargets();
     expect(listIds()).toEqual(['one']);
   });
 
-  it('uses a life that was met while the store was away, until the store does not confirm it', () => {
-    // Two engines crash and start again under other ids while nobody can read their entries. At its
-    // return the store confirms one of them; the other one has left meanwhile, and must be forgotten.
-    const { state, listIds, delay } = createState();
-    const first = Fixtures.createTargetText('10.0.0.1:1', 100);
-    const second = Fixtures.createTargetText('10.0.0.2:1', 100);
+  it('uses an incarnation found during a store outage unless the store does not confirm it', () => {
+    // Two engines crash and restart under other ids while their entries cannot be read. When the
+    // store responds again, it confirms one of them. The other one has terminated and must be
+    // removed.
+    const { state, listIds, advanceClock: delay } = createState();
+    const firstValue = Fixtures.createTargetText('10.0.0.1:1', 100);
+    const secondValue = Fixtures.createTargetText('10.0.0.2:1', 100);
     state.applyRecords([
-      { key: 'targets/one', revision: 2, value: first },
-      { key: 'targets/two', revision: 3, value: second },
+      { key: 'targets/one', revision: 2, value: firstValue },
+      { key: 'targets/two', revision: 3, value: secondValue },
     ]);
-    const [one, two] = state.listTargets('engines');
-    if (one === undefined || two === undefined) throw new Error('no targets');
-    state.recordReplacement(one, 'one-again');
-    state.recordReplacement(two, 'two-again');
+    const [firstTarget, secondTarget] = state.listTargets('engines');
+    if (firstTarget === undefined || secondTarget === undefined) throw new Error('no targets');
+    state.recordReplacement(firstTarget, 'one-again');
+    state.recordReplacement(secondTarget, 'two-again');
     expect(listIds()).toEqual(['one-again', 'two-again']);
-    state.removeDue();
+    state.removeDueTargets();
     expect(listIds()).toEqual(['one-again', 'two-again']);
-    state.holdRemovalsUntil(2_300);
+    state.delayRemovalsUntil(2_300);
     const value = Fixtures.createTargetText('10.0.0.1:1', 5_000);
-    state.applyAll([{ key: 'targets/one-again', revision: 9, value }], 9);
+    state.applySnapshot([{ key: 'targets/one-again', revision: 9, value }], 9);
     expect(listIds().includes('two-again')).toEqual(true);
     delay(2_400);
-    state.removeDue();
+    state.removeDueTargets();
     expect(listIds()).toEqual(['one-again']);
-    // What a peer still knows of the life before does not bring it back.
-    state.applyRecords([{ key: 'targets/one', revision: 2, value: first }]);
+    // An outdated record of the previous incarnation from a peer does not restore it.
+    state.applyRecords([{ key: 'targets/one', revision: 2, value: firstValue }]);
     expect(listIds()).toEqual(['one-again']);
   });
 
-  it('removes at once what leaves while the store is well', () => {
+  it('removes a target immediately while the store is available', () => {
     const { state, listIds } = createState();
     const value = Fixtures.createTargetText('10.0.0.1:1');
     state.applyRecords([{ key: 'targets/one', revision: 2, value }]);
     state.applyRecords([{ key: 'targets/one', revision: 3 }]);
     expect(listIds()).toEqual([]);
-    // A late copy of the entry from a peer does not bring it back.
+    // A late copy of the entry from a peer does not restore it.
     state.applyRecords([{ key: 'targets/one', revision: 2, value }]);
     expect(listIds()).toEqual([]);
   });
 
-  it('takes the newer of two lives at one address', () => {
-    // An engine crashes and starts again under a new id within a second, and its old entry has not
-    // lapsed yet. Requests for the old one would be refused by the new one.
+  it('uses the newer of two incarnations at one address', () => {
+    // An engine crashes and restarts under a new id within a second, before its old entry has
+    // lapsed. It would refuse requests for the old id.
     const { state, listIds } = createState();
-    const early = Fixtures.createTargetText('10.0.0.1:1', 100);
-    const late = Fixtures.createTargetText('10.0.0.1:1', 200);
-    state.applyRecords([{ key: 'targets/old', revision: 2, value: early }]);
-    state.applyRecords([{ key: 'targets/new', revision: 3, value: late }]);
+    const olderValue = Fixtures.createTargetText('10.0.0.1:1', 100);
+    const newerValue = Fixtures.createTargetText('10.0.0.1:1', 200);
+    state.applyRecords([{ key: 'targets/old', revision: 2, value: olderValue }]);
+    state.applyRecords([{ key: 'targets/new', revision: 3, value: newerValue }]);
     expect(listIds()).toEqual(['new']);
     state.applyRecords([{ key: 'targets/old', revision: 4 }]);
     expect(listIds()).toEqual(['new']);
   });
 
-  it('tells peers all that is newer than they know, removals too', () => {
+  it('lists all records after a revision, including removals', () => {
     const { state } = createState();
     const value = Fixtures.createTargetText('10.0.0.1:1');
     state.applyRecords([
@@ -125,7 +128,7 @@
     expect(state.getRevision()).toEqual(4);
   });
 
-  it('names no target after a damaged entry', () => {
+  it('ignores a target with a damaged entry', () => {
     const { state, log, listIds } = createState();
     const value = Fixtures.createTargetText('10.0.0.1:1');
     state.applyRecords([
--- a/packages/sequoiarill-plugin-directory/src/__tests__/fixtures.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/fixtures.ts
@@ -1,16 +1,16 @@
-/** Short forms of what a directory is made of. */
+/** Test documents and wire format of a directory. */
 import * as Kernel from '@sequoiarill/kernel';
 import type { ForwardingWire, LogEvent } from '@sequoiarill/types';
 
-interface Written {
+interface FakeDocument {
   readonly version?: number;
   readonly target?: { readonly address: string; readonly startedAtUnixMs?: number };
 }
 
-/** Names and formats of these tests alone. */
+/** Names and formats used only in these tests. */
 export const WIRE: ForwardingWire = Kernel.createFakeWire({
   decodeConfiguration(text) {
-    const { version } = JSON.parse(text) as Written;
+    const { version } = JSON.parse(text) as FakeDocument;
     if (version === undefined) return { kind: 'malformed', reason: 'no version' };
     const limits = {
       maxHeaderBytes: 1_000,
@@ -22,7 +22,7 @@
     return { kind: 'configuration', configuration };
   },
   decodeTarget(key, text) {
-    const { target } = JSON.parse(text) as Written;
+    const { target } = JSON.parse(text) as FakeDocument;
     if (target === undefined) return { kind: 'malformed', reason: 'no target' };
     return {
       kind: 'target',
--- a/packages/sequoiarill-plugin-directory/src/__tests__/startOfMany.test.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/massRestart.test.ts
@@ -12,26 +12,29 @@
 const TARGETS_PER_ROUTER = 10;
 const PAGE_ENTRIES = 500;
 const ENTRY_BITS = 400 * 8;
-/** Bits in a millisecond: of the store, and of a small router. */
-const STORE_RATE = 1_000_000;
-const ROUTER_RATE = 10_000;
-const CALL_LIMIT_MS = 700;
-/** In which a fleet that lost its power is to serve again, milliseconds. */
-const AIM_MS = 2_000;
+/** Link rates of the store and of a small router. */
+const STORE_BITS_PER_MS = 1_000_000;
+const ROUTER_BITS_PER_MS = 10_000;
+const CALL_TIMEOUT_MS = 700;
+/** Time in which a fleet that lost power must serve again. */
+const RECOVERY_TIME_MS = 2_000;
 
-/** Pages leave the store one after the other over its link; what is not there in time is lost. */
+/**
+ * Pages leave the store one after the other over its link. A page that takes longer than the call
+ * timeout is lost.
+ */
 function createSharedStore(clock: Kernel.FakeClock, entries: readonly KeyValueEntry[]) {
   let busyUntilMs = 0;
 
   async function readPage(afterKey: string) {
-    const rest = entries.filter(({ key }) => key > afterKey);
-    const page = rest.slice(0, PAGE_ENTRIES);
+    const remaining = entries.filter(({ key }) => key > afterKey);
+    const page = remaining.slice(0, PAGE_ENTRIES);
     const bits = page.length * ENTRY_BITS;
-    busyUntilMs = Math.max(busyUntilMs, clock.getNowMs()) + bits / STORE_RATE;
-    const tookMs = busyUntilMs - clock.getNowMs() + bits / ROUTER_RATE;
-    await clock.waitMs(Math.min(tookMs, CALL_LIMIT_MS));
-    if (tookMs > CALL_LIMIT_MS) return { kind: 'unavailable', message: 'no answer' } as const;
-    const hasMore = rest.length > page.length;
+    busyUntilMs = Math.max(busyUntilMs, clock.getNowMs()) + bits / STORE_BITS_PER_MS;
+    const tookMs = busyUntilMs - clock.getNowMs() + bits / ROUTER_BITS_PER_MS;
+    await clock.waitMs(Math.min(tookMs, CALL_TIMEOUT_MS));
+    if (tookMs > CALL_TIMEOUT_MS) return { kind: 'unavailable', message: 'no answer' } as const;
+    const hasMore = remaining.length > page.length;
     return { kind: 'page', revision: 10, entries: page, hasMore } as const;
   }
 
@@ -52,19 +55,20 @@
     revision: 5,
     createRevision: 5,
   };
-  const names = Array.from({ length: targets }, (_one, index) => String(index).padStart(5, '0'));
-  const servers = names.map((name, index) => ({
-    key: `targets/${name}`,
+  const ids = Array.from({ length: targets }, (_one, index) => String(index).padStart(5, '0'));
+  const targetEntries = ids.map((id, index) => ({
+    key: `targets/${id}`,
     value: Fixtures.createTargetText(`10.0.0.1:${index}`),
     revision: 6,
     createRevision: 6,
   }));
-  return [configuration, ...servers];
+  return [configuration, ...targetEntries];
 }
 
-describe('a start of hundreds of routers', () => {
-  // Failure: after a loss of power no router serves until all have read everything over small links.
-  it('can serve everywhere within two seconds, and knows everything in the end', async () => {
+describe('simultaneous start of hundreds of routers', () => {
+  // Guards against a loss of power after which no router serves until all of them have read
+  // everything over small links.
+  it('makes all routers ready within two seconds, and lets them read everything in the end', async () => {
     const clock = Kernel.createFakeClock();
     const targets = ROUTERS * TARGETS_PER_ROUTER;
     const store = createSharedStore(clock, createEntries(targets));
@@ -83,21 +87,21 @@
         logEvent: log.logEvent,
         nextRandom: () => index / ROUTERS,
         chooseReader: () => undefined,
-        recordUnfit: () => undefined,
+        recordReaderFailure: () => undefined,
         readPeer: async () => ({ kind: 'failed', reason: 'not asked' }),
         getWatchWaitMs: () => undefined,
       });
       follower.run(stop.signal).catch(() => undefined);
       return state;
     });
-    await clock.runFor(AIM_MS);
+    await clock.runFor(RECOVERY_TIME_MS);
     const ready = states.filter(
       (state) => state.getConfiguration() !== undefined && state.listTargets('engines').length > 0,
     );
     expect(ready.length).toEqual(ROUTERS);
     await clock.runFor(20_000);
-    const whole = states.filter((state) => state.listTargets('engines').length === targets);
-    expect(whole.length).toEqual(ROUTERS);
+    const complete = states.filter((state) => state.listTargets('engines').length === targets);
+    expect(complete.length).toEqual(ROUTERS);
     stop.abort();
     await clock.runFor(1_000);
   });
--- a/packages/sequoiarill-plugin-directory/src/__tests__/peerServer.test.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/peerServer.test.ts
@@ -10,34 +10,34 @@
 import * as PeerClients from '../peerClient';
 import * as PeerServers from '../peerServer';
 
-/** Of the test: what is lent is its matter, not how fast a busy machine answers. */
-const LOAN_TIMEOUT_MS = 10_000;
+/** Long, because the test checks the granted quota and not the speed of a busy machine. */
+const QUOTA_TIMEOUT_MS = 10_000;
 
-function createPeerRouter(lendRepeats: (loan: RetryQuotaRequest) => number) {
+function createPeerRouter(grantRetryQuota: (request: RetryQuotaRequest) => number) {
   return PeerServers.createPeerRouter({
     state: { listRecordsAfter: () => [], subscribe: () => () => undefined },
     follower: { getSeenRevision: () => 7, getAgeMs: () => 20 },
     clock: { waitMs: async () => undefined },
-    lendRepeats,
+    grantRetryQuota,
     handleReport: () => ({ isHalted: false, avoided: [] }),
-    lendPermits: () => ({ permits: 0 }),
+    grantPermits: () => ({ permits: 0 }),
     handleCrashes: () => undefined,
     handleAnswers: () => undefined,
     handleBlocks: () => [],
   });
 }
 
-function createCaller(lendRepeats: (loan: RetryQuotaRequest) => number) {
-  return createPeerRouter(lendRepeats).createCaller({});
+function createCaller(grantRetryQuota: (request: RetryQuotaRequest) => number) {
+  return createPeerRouter(grantRetryQuota).createCaller({});
 }
 
-/** As another router asks, over a socket. */
-async function borrowOverSocket(
-  loan: RetryQuotaRequest,
-  lendRepeats: (asked: RetryQuotaRequest) => number,
+/** Requests retry quota as another router does, over a socket. */
+async function acquireOverSocket(
+  request: RetryQuotaRequest,
+  grantRetryQuota: (received: RetryQuotaRequest) => number,
 ) {
   const server = Http.createServer(
-    Standalone.createHTTPHandler({ router: createPeerRouter(lendRepeats) }),
+    Standalone.createHTTPHandler({ router: createPeerRouter(grantRetryQuota) }),
   );
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -46,38 +46,39 @@
   const client = PeerClients.createPeerClient(
     { expectedTarget: 'target' },
     Kernel.createSystemClock(),
-    LOAN_TIMEOUT_MS,
+    QUOTA_TIMEOUT_MS,
   );
-  const outcome = await client.borrowRepeats(`127.0.0.1:${port}`, loan);
+  const outcome = await client.acquireRetryQuota(`127.0.0.1:${port}`, request);
   await client.close();
   server.close();
   return outcome;
 }
 
-describe('what a router answers its peers', () => {
-  it('lends what the decision says', async () => {
-    const asked: RetryQuotaRequest[] = [];
-    const caller = createCaller((loan) => {
-      asked.push(loan);
+describe('peer server', () => {
+  it('grants the quota that the handler decides on', async () => {
+    const requests: RetryQuotaRequest[] = [];
+    const caller = createCaller((request) => {
+      requests.push(request);
       return 0.4;
     });
     expect(await caller.lendRepeats({ service: 'engines', repeats: 1 })).toEqual({ repeats: 0.4 });
-    expect(asked).toEqual([{ service: 'engines', repeats: 1 }]);
+    expect(requests).toEqual([{ service: 'engines', repeats: 1 }]);
   });
 
-  it('is asked for no more than it lends', async () => {
-    // A router whose window is overdrawn needs several repeats for one stream. Asked for all of them,
-    // its peers would refuse the question as malformed, and it would get none.
-    const outcome = await borrowOverSocket(
+  it('receives requests for no more than it grants', async () => {
+    // A router whose window is overdrawn needs several retries for one stream. If it requested all
+    // of them, its peers would refuse the request as malformed, and it would get none.
+    const outcome = await acquireOverSocket(
       { service: 'engines', repeats: 5 },
-      (loan) => loan.repeats,
+      (request) => request.repeats,
     );
     expect(outcome).toEqual({ kind: 'granted', repeats: 3 });
   });
 
-  it('lends nobody more than one stream can need', async () => {
-    // A router of another version, or a faulty one, asks for all repeats there are. Lent, they would be
-    // missing at each router that it asks, and every stream that is cut there would end broken.
+  it('refuses requests for more than one stream can need', async () => {
+    // A router of another version, or a faulty one, requests the whole retry quota. If it were
+    // granted, each queried router would lack it, and every stream interrupted there would end
+    // broken.
     const caller = createCaller(({ repeats }) => repeats);
     await expect(caller.lendRepeats({ service: 'engines', repeats: 150 })).toBeRejected();
   });
--- a/packages/sequoiarill-plugin-directory/src/__tests__/readerChoice.test.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/readerChoice.test.ts
@@ -4,7 +4,7 @@
 
 import * as ReaderChoices from '../readerChoice';
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
 
 function createRouters(count: number, zone: string) {
   return Array.from({ length: count }, (_one, index) => ({
@@ -13,14 +13,14 @@
   }));
 }
 
-function listChoices(count: number, unfit = NOBODY): readonly (string | undefined)[] {
+function listChoices(count: number, excluded = NO_EXCLUSIONS): readonly (string | undefined)[] {
   const routers = [...createRouters(count, 'a'), ...createRouters(3, 'b')];
-  return createRouters(count, 'a').map(({ address: self }) =>
-    ReaderChoices.chooseReader({ self, zone: 'a', routers, unfit }),
+  return createRouters(count, 'a').map(({ address: ownAddress }) =>
+    ReaderChoices.chooseReader({ ownAddress, zone: 'a', routers, excluded }),
   );
 }
 
-describe('the readers of a zone', () => {
+describe('readers of a zone', () => {
   it('are all routers of a small zone', () => {
     expect(listChoices(4).every((choice) => choice === undefined)).toEqual(true);
   });
@@ -32,18 +32,20 @@
     }
   });
 
-  it('are a few of a large one, asked by about as many each', () => {
-    // 30 routers of a zone that each watch the store cost 30 calls for each change.
+  it('are a few routers of a large zone with an even load', () => {
+    // If each of 30 routers in a zone watched the store, every change would cost 30 calls.
     const choices = listChoices(30);
     const readers = new Set(choices.filter((choice) => choice !== undefined));
     expect(choices.filter((choice) => choice === undefined).length).toEqual(2);
     expect(readers.size).toEqual(2);
-    const counts = [...readers].map((one) => choices.filter((choice) => choice === one).length);
+    const counts = [...readers].map(
+      (reader) => choices.filter((choice) => choice === reader).length,
+    );
     expect(Math.max(...counts)).toBeLessThan(20);
   });
 
-  it('are left out while they are unfit, all of them if need be', () => {
-    const [first, second] = [...new Set(listChoices(12).filter((one) => one !== undefined))];
+  it('are skipped while they are excluded, all of them if necessary', () => {
+    const [first, second] = [...new Set(listChoices(12).filter((reader) => reader !== undefined))];
     const others = listChoices(12, new Set([first ?? '']));
     expect(others.includes(first)).toEqual(false);
     expect(others.includes(second)).toEqual(true);
--- a/packages/sequoiarill-plugin-directory/src/directoryState.ts
+++ b/packages/sequoiarill-plugin-directory/src/directoryState.ts
@@ -1,4 +1,4 @@
-/** What is known of routes and targets, merged by revision from the store and from peers. */
+/** State of routes, targets and routers, merged by revision from the store and from peers. */
 import type {
   Directory,
   ForwardingConfiguration,
@@ -7,32 +7,33 @@
   LogEvent,
 } from '@sequoiarill/types';
 
+import * as DelayedRemovals from './delayedRemovals';
 import * as Events from './events';
-import * as HeldRemovals from './heldRemovals';
-import * as RecordLogs from './recordLog';
-import type { DirectoryRecord } from './recordLog';
+import * as RecordCaches from './recordCache';
+import type { DirectoryRecord } from './recordCache';
 import * as RouterEntries from './routerEntry';
 import type { RouterEntry } from './routerEntry';
-import * as TargetTables from './targetTable';
+import * as TargetRegistries from './targetRegistry';
 
 export interface DirectoryState extends Omit<Directory, 'isUpToDate'> {
-  /** Takes in what is newer than what is known; older records change nothing. */
+  /** Applies records that are newer than the known ones. Older records have no effect. */
   readonly applyRecords: (records: readonly DirectoryRecord[]) => void;
   /**
-   * Takes in everything that the store held at a revision. What is known and missing there was
-   * removed; while removals are held, such targets stay known as unconfirmed.
+   * Applies the complete content of the store at a revision. Known keys that are missing from it
+   * were removed; while removals are delayed, such targets are kept as unconfirmed.
    */
-  readonly applyAll: (records: readonly DirectoryRecord[], revision: number) => void;
+  readonly applySnapshot: (records: readonly DirectoryRecord[], revision: number) => void;
   /**
-   * The store is back: removals of targets before this moment wait for it, and so do those of targets
-   * that were learned meanwhile and that it does not confirm. Monotonic milliseconds.
+   * Delays removals of targets until this time, in monotonic milliseconds. Called when the store
+   * responds again and for updates from peers. Replacements that no record has confirmed become
+   * unconfirmed, and are removed at that time unless the store confirms them.
    */
-  readonly holdRemovalsUntil: (untilMs: number) => void;
-  /** Carries out removals that waited long enough. */
-  readonly removeDue: () => void;
-  /** Highest revision of a record that was taken in. */
+  readonly delayRemovalsUntil: (untilMs: number) => void;
+  /** Removes targets whose delay has passed. */
+  readonly removeDueTargets: () => void;
+  /** Highest revision among the applied records. */
   readonly getRevision: () => number;
-  /** What routers wrote of themselves. */
+  /** Entries that routers wrote about themselves. */
   readonly listRouters: () => readonly RouterEntry[];
   readonly listRecordsAfter: (revision: number) => readonly DirectoryRecord[];
 }
@@ -45,28 +46,28 @@
 
 export function createDirectoryState(options: DirectoryStateOptions): DirectoryState {
   const { wire, logEvent, getNowMs } = options;
-  const log = RecordLogs.createRecordLog();
-  const targets = TargetTables.createTargetTable();
+  const recordCache = RecordCaches.createRecordCache();
+  const targets = TargetRegistries.createTargetRegistry();
   const listeners = new Set<() => void>();
   const routers = new Map<string, RouterEntry>();
   let configuration: ForwardingConfiguration | undefined;
-  let byService: ReadonlyMap<string, readonly ForwardingTarget[]> = new Map();
-  const removals = HeldRemovals.createHeldRemovals(targets, getNowMs);
-  /** Keys of targets that were learned and that no record has confirmed. */
-  const learnedKeys = new Set<string>();
+  let targetsByService: ReadonlyMap<string, readonly ForwardingTarget[]> = new Map();
+  const removals = DelayedRemovals.createDelayedRemovals(targets, getNowMs);
+  /** Keys of replacement targets that no record has confirmed. */
+  const replacementKeys = new Set<string>();
 
-  function isRouter(key: string): boolean {
+  function isRouterKey(key: string): boolean {
     return key.startsWith(`${wire.ownPrefix}routers/`);
   }
 
-  function isTarget(key: string): boolean {
+  function isTargetKey(key: string): boolean {
     return key.startsWith(wire.targetPrefix);
   }
 
-  function isOurs(key: string): boolean {
-    const isRollout = key.startsWith(wire.rolloutPrefix);
-    const isOwn = key.startsWith(wire.ownPrefix);
-    return key === wire.configurationKey || isTarget(key) || isRollout || isOwn;
+  function isDirectoryKey(key: string): boolean {
+    const isRolloutKey = key.startsWith(wire.rolloutPrefix);
+    const isOwnKey = key.startsWith(wire.ownPrefix);
+    return key === wire.configurationKey || isTargetKey(key) || isRolloutKey || isOwnKey;
   }
 
   function applyConfiguration(record: DirectoryRecord): void {
@@ -85,9 +86,9 @@
     });
   }
 
-  function applyTarget({ key, revision: changed, value }: DirectoryRecord): void {
-    removals.releaseTarget(key);
-    learnedKeys.delete(key);
+  function applyTarget({ key, revision, value }: DirectoryRecord): void {
+    removals.cancelRemoval(key);
+    replacementKeys.delete(key);
     if (value === undefined) {
       removals.removeTarget(key);
       return;
@@ -97,14 +98,15 @@
       targets.set(key, decoded.target);
     } else {
       targets.remove(key);
-      logEvent(Events.TARGET_REFUSED, { key, revision: changed, reason: decoded.reason });
+      logEvent(Events.TARGET_REFUSED, { key, revision, reason: decoded.reason });
     }
   }
 
   /**
-   * Failure: engines crash and start again while the store is away. Their new lives are unknown, so the
-   * directory shrinks with each crash, and a stream meets one refusal after another. A life met at a
-   * known address takes the place of the one before, until the store tells or does not confirm it.
+   * Failure: engines crash and restart during a store outage. Their new incarnations are unknown,
+   * so each crash leaves fewer targets, and a stream is refused by one target after another. An
+   * incarnation found at a known address therefore replaces the previous one, until the store
+   * reports it or does not confirm it.
    */
   function recordReplacement(replaced: ForwardingTarget, id: string): void {
     const key = `${wire.targetPrefix}${id}`;
@@ -112,7 +114,7 @@
     const startedAtUnixMs = replaced.startedAtUnixMs + 1;
     targets.set(key, { ...replaced, id, startedAtUnixMs, state: 'ready' });
     if (targets.find(key) === undefined) return;
-    learnedKeys.add(key);
+    replacementKeys.add(key);
     logEvent(Events.TARGET_LEARNED, { target: id, replaced: replaced.id, zone: replaced.zone });
     reportChange();
   }
@@ -124,27 +126,27 @@
   }
 
   function applyRecord(record: DirectoryRecord): boolean {
-    if (!isOurs(record.key) || !log.addRecord(record)) return false;
+    if (!isDirectoryKey(record.key) || !recordCache.addRecord(record)) return false;
     if (record.key === wire.configurationKey) applyConfiguration(record);
-    else if (isRouter(record.key)) applyRouter(record);
-    else if (isTarget(record.key)) applyTarget(record);
+    else if (isRouterKey(record.key)) applyRouter(record);
+    else if (isTargetKey(record.key)) applyTarget(record);
     return true;
   }
 
   function reportChange(): void {
-    byService = targets.buildGroups();
+    targetsByService = targets.buildGroupsByService();
     listeners.forEach((listener) => listener());
   }
 
-  function applyRecords(news: readonly DirectoryRecord[]): void {
-    const changed = news.filter(applyRecord);
+  function applyRecords(records: readonly DirectoryRecord[]): void {
+    const changed = records.filter(applyRecord);
     if (changed.length === 0) return;
     reportChange();
-    const changedTargets = changed.filter(({ key }) => isTarget(key));
+    const changedTargets = changed.filter(({ key }) => isTargetKey(key));
     if (changedTargets.length === 0) return;
     const removed = changedTargets.filter(({ value }) => value === undefined).length;
     logEvent(Events.TARGETS_CHANGED, {
-      revision: log.getRevision(),
+      revision: recordCache.getRevision(),
       written: changedTargets.length - removed,
       removed,
       known: targets.getSize(),
@@ -153,10 +155,10 @@
 
   return {
     getConfiguration: () => configuration,
-    listTargets: (service) => byService.get(service) ?? [],
+    listTargets: (service) => targetsByService.get(service) ?? [],
     findCurrent(target) {
-      const known = targets.find(`${wire.targetPrefix}${target.id}`);
-      return known?.startedAtUnixMs === target.startedAtUnixMs ? known : undefined;
+      const current = targets.find(`${wire.targetPrefix}${target.id}`);
+      return current?.startedAtUnixMs === target.startedAtUnixMs ? current : undefined;
     },
     recordReplacement,
     countRouters: () => Math.max(1, routers.size),
@@ -164,24 +166,24 @@
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
-    listEntries: (prefix) => log.listValues(prefix),
+    listEntries: (prefix) => recordCache.listEntries(prefix),
     recordEntry: (entry) => applyRecords([entry]),
     applyRecords,
-    applyAll(all, readRevision) {
-      const present = new Set(all.map(({ key }) => key));
-      const missing = log.listMissing(present, readRevision);
-      const gone = missing.map((key) => ({ key, revision: readRevision }));
-      applyRecords([...all, ...gone]);
+    applySnapshot(records, snapshotRevision) {
+      const presentKeys = new Set(records.map(({ key }) => key));
+      const missingKeys = recordCache.listMissingKeys(presentKeys, snapshotRevision);
+      const removedRecords = missingKeys.map((key) => ({ key, revision: snapshotRevision }));
+      applyRecords([...records, ...removedRecords]);
     },
-    holdRemovalsUntil: (untilMs) => removals.holdUntil(untilMs, learnedKeys),
-    removeDue() {
-      const due = removals.takeDue();
-      if (due.length === 0) return;
-      due.forEach((key) => learnedKeys.delete(key));
+    delayRemovalsUntil: (untilMs) => removals.delayUntil(untilMs, replacementKeys),
+    removeDueTargets() {
+      const dueKeys = removals.takeDue();
+      if (dueKeys.length === 0) return;
+      dueKeys.forEach((key) => replacementKeys.delete(key));
       reportChange();
     },
-    getRevision: log.getRevision,
+    getRevision: recordCache.getRevision,
     listRouters: () => [...routers.values()],
-    listRecordsAfter: log.listAfter,
+    listRecordsAfter: recordCache.listRecordsAfter,
   };
 }
--- a/packages/sequoiarill-plugin-directory/src/index.ts
+++ b/packages/sequoiarill-plugin-directory/src/index.ts
@@ -1,4 +1,4 @@
-/** Follows the store for what is forwarded where and which targets live. */
+/** Provides the configured routes and the running targets, read from the store. */
 import * as Kernel from '@sequoiarill/kernel';
 
 import * as DirectoryPlugin from './plugin';
--- a/packages/sequoiarill-plugin-directory/src/peerClient.ts
+++ b/packages/sequoiarill-plugin-directory/src/peerClient.ts
@@ -1,4 +1,7 @@
-/** Reads the directory of other routers and borrows repeats of them, over tRPC. */
+/**
+ * tRPC client for other routers: reads their directories, acquires retry quota and permits, and
+ * reports rollouts and crashes.
+ */
 import * as Kernel from '@sequoiarill/kernel';
 import type {
   BlockExchangeOutcome,
@@ -19,17 +22,20 @@
 import * as Undici from 'undici';
 
 import * as Messages from './peerMessages';
-import type { PeerAnswer } from './peerMessages';
+import type { RecordsOutcome } from './peerMessages';
 import type { PeerRouter } from './peerServer';
 
 export interface PeerClient {
-  /** `waitMs`: how long the peer may wait for news. */
+  /** `waitMs`: how long the peer may wait for updates. */
   readonly readRecords: (
     address: string,
     afterRevision: number,
     waitMs?: number,
-  ) => Promise<PeerAnswer>;
-  readonly borrowRepeats: (address: string, loan: RetryQuotaRequest) => Promise<RetryQuotaOutcome>;
+  ) => Promise<RecordsOutcome>;
+  readonly acquireRetryQuota: (
+    address: string,
+    request: RetryQuotaRequest,
+  ) => Promise<RetryQuotaOutcome>;
   readonly sendReport: (address: string, report: RolloutReport) => Promise<GuidanceOutcome>;
   readonly reportCrashes: (
     address: string,
@@ -43,49 +49,55 @@
     address: string,
     blocks: readonly ContentBlock[],
   ) => Promise<BlockExchangeOutcome>;
-  readonly borrowPermits: (address: string, question: PermitsRequest) => Promise<PermitsOutcome>;
+  readonly acquirePermits: (address: string, request: PermitsRequest) => Promise<PermitsOutcome>;
   readonly close: () => Promise<void>;
 }
 
-/** A peer that lives answers within some milliseconds; one that is cut off must not hold others up. */
+/**
+ * A running peer responds within a few milliseconds. An unreachable one must not delay the others.
+ */
 const CALL_TIMEOUT_MS = 600;
 const CONNECT_TIMEOUT_MS = 400;
-/** A caller's stream stands still meanwhile, milliseconds; another peer can be asked. */
-const LOAN_TIMEOUT_MS = 80;
-/** To one peer: a question that waits for news must not hold up another one. */
-const CONNECTIONS = 2;
+/** Short, because a caller's stream is stalled meanwhile; another peer can be queried. */
+const QUOTA_TIMEOUT_MS = 80;
+/** A request that waits for updates must not delay another one. */
+const CONNECTIONS_PER_PEER = 2;
 
 export function createPeerClient(
-  names: Pick<HeaderNames, 'expectedTarget'>,
+  headerNames: Pick<HeaderNames, 'expectedTarget'>,
   { getRunningMs }: Pick<Clock, 'getRunningMs'>,
-  loanTimeoutMs = LOAN_TIMEOUT_MS,
+  quotaTimeoutMs = QUOTA_TIMEOUT_MS,
 ): PeerClient {
   const dispatcher = new Undici.Agent({
-    connections: CONNECTIONS,
+    connections: CONNECTIONS_PER_PEER,
     connect: { timeout: CONNECT_TIMEOUT_MS },
   });
 
   /**
-   * Failure: a router is gone, a target has its address now, and runs calls that no caller has sent. No target
-   * is called like a router's address, so that all refuse them.
+   * Failure: a router has terminated, a target has its address now, and runs calls that no caller
+   * has sent. The expected target in the header is the address of the router. No target has such an
+   * id, so all targets refuse the call.
    */
   async function sendCall(url: string, body: string, timeoutMs: number) {
-    const limit = new AbortController();
+    const timeout = new AbortController();
     const stopTimer = Kernel.startRunningTimer(getRunningMs, timeoutMs, () =>
-      limit.abort(new Error(`no answer within ${timeoutMs} ms`)),
+      timeout.abort(new Error(`no response within ${timeoutMs} ms`)),
     );
     try {
-      return await sendWithin(url, body, limit.signal);
+      return await sendRequest(url, body, timeout.signal);
     } finally {
       stopTimer();
     }
   }
 
-  async function sendWithin(url: string, body: string, signal: AbortSignal) {
+  async function sendRequest(url: string, body: string, signal: AbortSignal) {
     const response = await Undici.request(url, {
       method: 'POST',
       body,
-      headers: { 'content-type': 'application/json', [names.expectedTarget]: new URL(url).host },
+      headers: {
+        'content-type': 'application/json',
+        [headerNames.expectedTarget]: new URL(url).host,
+      },
       dispatcher,
       signal,
     });
@@ -97,7 +109,7 @@
     };
   }
 
-  function createCaller(address: string, timeoutMs: number) {
+  function createPeerCaller(address: string, timeoutMs: number) {
     const link = TrpcClient.httpLink<PeerRouter>({
       url: `http://${address}`,
       fetch: (input, init) => sendCall(String(input), String(init?.body ?? ''), timeoutMs),
@@ -106,47 +118,52 @@
   }
 
   return {
-    borrowRepeats: (address, loan) =>
+    acquireRetryQuota: (address, request) =>
       runCall(async () => {
-        const repeats = Math.min(loan.repeats, Messages.MAX_LOAN);
-        const caller = createCaller(address, loanTimeoutMs);
-        const answer = await caller.lendRepeats.mutate({ ...loan, repeats });
-        return { kind: 'granted', repeats: Messages.loanAnswerSchema.parse(answer).repeats };
+        const repeats = Math.min(request.repeats, Messages.MAX_RETRY_QUOTA);
+        const caller = createPeerCaller(address, quotaTimeoutMs);
+        const response = await caller.lendRepeats.mutate({ ...request, repeats });
+        return {
+          kind: 'granted',
+          repeats: Messages.retryQuotaResponseSchema.parse(response).repeats,
+        };
       }),
     sendReport: (address, report) =>
       runCall(async () => {
-        const caller = createCaller(address, CALL_TIMEOUT_MS);
-        const answer = await caller.reportRollout.mutate(Messages.encodeReport(report));
-        return { kind: 'guided', guidance: Messages.decodeGuidance(answer) };
+        const caller = createPeerCaller(address, CALL_TIMEOUT_MS);
+        const response = await caller.reportRollout.mutate(Messages.encodeReport(report));
+        return { kind: 'guided', guidance: Messages.decodeGuidance(response) };
       }),
-    borrowPermits: (address, question) =>
+    acquirePermits: (address, request) =>
       runCall(async () => {
-        const answer = await createCaller(address, loanTimeoutMs).lendPermits.mutate(question);
-        return { kind: 'granted', granted: Messages.decodeLentPermits(answer) };
+        const response = await createPeerCaller(address, quotaTimeoutMs).lendPermits.mutate(
+          request,
+        );
+        return { kind: 'granted', granted: Messages.decodeGrantedPermits(response) };
       }),
     reportCrashes: (address, crashes) =>
       runCall(async () => {
-        const caller = createCaller(address, CALL_TIMEOUT_MS);
+        const caller = createPeerCaller(address, CALL_TIMEOUT_MS);
         await caller.reportCrashes.mutate({ crashes: crashes.slice(-Messages.MAX_CRASHES) });
         return { kind: 'counted' };
       }),
     reportAnswers: (address, answers) =>
       runCall(async () => {
-        const caller = createCaller(address, CALL_TIMEOUT_MS);
+        const caller = createPeerCaller(address, CALL_TIMEOUT_MS);
         await caller.reportAnswers.mutate({ answers: answers.slice(-Messages.MAX_CRASHES) });
         return { kind: 'counted' };
       }),
     exchangeBlocks: (address, blocks) =>
       runCall(async () => {
-        const caller = createCaller(address, CALL_TIMEOUT_MS);
-        const answer = await caller.exchangeBlocks.mutate(Messages.encodeBlocks(blocks));
-        return { kind: 'blocks', blocks: Messages.blocksSchema.parse(answer).blocks };
+        const caller = createPeerCaller(address, CALL_TIMEOUT_MS);
+        const response = await caller.exchangeBlocks.mutate(Messages.encodeBlocks(blocks));
+        return { kind: 'blocks', blocks: Messages.blocksSchema.parse(response).blocks };
       }),
     readRecords: (address, afterRevision, waitMs = 0) =>
       runCall(async () => {
-        const client = createCaller(address, CALL_TIMEOUT_MS + waitMs);
-        const answer = await client.readRecords.mutate({ afterRevision, waitMs });
-        const { records, seenRevision, ageMs } = Messages.recordsAnswerSchema.parse(answer);
+        const caller = createPeerCaller(address, CALL_TIMEOUT_MS + waitMs);
+        const response = await caller.readRecords.mutate({ afterRevision, waitMs });
+        const { records, seenRevision, ageMs } = Messages.recordsResponseSchema.parse(response);
         return {
           kind: 'records',
           seenRevision,
@@ -165,7 +182,7 @@
   readonly reason: string;
 }
 
-/** A peer that does not answer, or not as agreed, is an outcome like others. */
+/** Turns the failure of a call, or an invalid response, into an outcome. */
 async function runCall<Outcome>(call: () => Promise<Outcome>): Promise<Outcome | FailedCall> {
   try {
     return await call();
--- a/packages/sequoiarill-plugin-directory/src/peerMessages.ts
+++ b/packages/sequoiarill-plugin-directory/src/peerMessages.ts
@@ -1,4 +1,4 @@
-/** Messages between routers; both sides check them. */
+/** Messages between routers, validated on both sides. */
 import type {
   ContentBlock,
   ObservedLimit,
@@ -9,63 +9,66 @@
 } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
-import type { DirectoryRecord } from './recordLog';
+import type { DirectoryRecord } from './recordCache';
 
-export const recordsQuestionSchema = Zod.object({
-  /** Records above this revision are asked for. */
+export const recordsRequestSchema = Zod.object({
+  /** Records above this revision are requested. */
   afterRevision: Zod.number().int().min(0),
-  /** The answer may wait this long for news, milliseconds. */
+  /** How long the response may wait for updates, in milliseconds. */
   waitMs: Zod.number().int().min(0).max(5_000).default(0),
 });
 
-/** Records of one answer, about 60 KB. */
+/** Limit of records in one response, about 60 KB. */
 export const MAX_RECORDS = 200;
-/** Age of what was never told, milliseconds. */
-export const MAX_AGE_MS = 3_600_000;
+/** Reported as the age when no state was received from the store yet. */
+export const MAX_REPORTED_AGE_MS = 3_600_000;
 
 const recordSchema = Zod.object({
   key: Zod.string(),
   revision: Zod.number().int(),
-  /** Absent: the key was removed at that revision. */
+  /** Absent if the key was removed at that revision. */
   value: Zod.string().optional(),
 });
 
-export const recordsAnswerSchema = Zod.object({
+export const recordsResponseSchema = Zod.object({
   records: Zod.array(recordSchema),
-  /** Everything up to it was seen by the router that answers. */
+  /** The responding router has seen all changes up to this revision. */
   seenRevision: Zod.number().int().min(0),
-  /** Time since the store last told that router so, milliseconds. */
+  /** Time since the store last confirmed this to the responding router, in milliseconds. */
   ageMs: Zod.number().min(0),
 });
 
-export type RecordsQuestion = Zod.infer<typeof recordsQuestionSchema>;
-export type RecordsAnswer = Zod.infer<typeof recordsAnswerSchema>;
+export type RecordsRequest = Zod.infer<typeof recordsRequestSchema>;
+export type RecordsResponse = Zod.infer<typeof recordsResponseSchema>;
 
-/** Most that is lent for one question: a repeat, and what a router keeps for its running streams. */
-export const MAX_LOAN = 3;
+/**
+ * Limit of retry quota granted per request: one retry, plus the reserve of a router for its running
+ * streams.
+ */
+export const MAX_RETRY_QUOTA = 3;
 
-export const loanQuestionSchema = Zod.object({
+export const retryQuotaRequestSchema = Zod.object({
   service: Zod.string().min(1),
-  repeats: Zod.number().min(0).max(MAX_LOAN),
+  repeats: Zod.number().min(0).max(MAX_RETRY_QUOTA),
 });
 
-export const loanAnswerSchema = Zod.object({
-  repeats: Zod.number().min(0).max(MAX_LOAN),
+export const retryQuotaResponseSchema = Zod.object({
+  repeats: Zod.number().min(0).max(MAX_RETRY_QUOTA),
 });
 
-/** Most rows of one report: a router sees few targets of a version on probation. */
+/** Limit of rows in one report. A router uses few targets of a version that is being rolled out. */
 export const MAX_TALLIES = 200;
-const MAX_CLASSES = 32;
+const MAX_LATENCY_CLASSES = 32;
 
 const tallySchema = Zod.object({
   route: Zod.string(),
   target: Zod.string().optional(),
   failures: Zod.number().int().min(0),
-  byLatency: Zod.array(Zod.number().int().min(0)).max(MAX_CLASSES),
-  waiting: Zod.array(Zod.number().int().min(0)).max(MAX_CLASSES),
+  byLatency: Zod.array(Zod.number().int().min(0)).max(MAX_LATENCY_CLASSES),
+  waiting: Zod.array(Zod.number().int().min(0)).max(MAX_LATENCY_CLASSES),
 });
 
-export const reportQuestionSchema = Zod.object({
+export const reportRequestSchema = Zod.object({
   service: Zod.string().min(1),
   orderRevision: Zod.number().int().min(0),
   router: Zod.string().min(1),
@@ -80,14 +83,14 @@
   state: Zod.object({ revision: Zod.number().int(), value: Zod.string() }).optional(),
 });
 
-/** Most crashes of one report, and most blocks of one exchange. */
+/** Limits of crashes in one report and of blocks in one exchange. */
 export const MAX_CRASHES = 100;
 export const MAX_BLOCKS = 200;
 const MAX_NAME_LENGTH = 200;
 
 const contentSchema = Zod.string().regex(/^[0-9a-f]{16}$/);
 
-export const crashesQuestionSchema = Zod.object({
+export const crashesRequestSchema = Zod.object({
   crashes: Zod.array(
     Zod.object({
       content: contentSchema,
@@ -97,7 +100,7 @@
   ).max(MAX_CRASHES),
 });
 
-export const answersQuestionSchema = Zod.object({
+export const answersRequestSchema = Zod.object({
   answers: Zod.array(Zod.object({ content: contentSchema, ageMs: Zod.number().min(0) })).max(
     MAX_CRASHES,
   ),
@@ -113,49 +116,52 @@
   ).max(MAX_BLOCKS),
 });
 
-const knownLimitSchema = Zod.object({
+const observedLimitSchema = Zod.object({
   perSecond: Zod.number().min(0).optional(),
   ageMs: Zod.number().min(0),
 });
 
-export const permitsQuestionSchema = Zod.object({
+export const permitsRequestSchema = Zod.object({
   life: Zod.string().max(MAX_NAME_LENGTH),
   zone: Zod.string().max(MAX_NAME_LENGTH),
   wanted: Zod.number().int().min(0).max(1),
-  known: knownLimitSchema,
+  known: observedLimitSchema,
 });
 
-export const lentPermitsSchema = Zod.object({
+export const grantedPermitsSchema = Zod.object({
   permits: Zod.number().int().min(0).max(1),
-  known: knownLimitSchema.optional(),
+  known: observedLimitSchema.optional(),
 });
 
-function decodeKnown({ ageMs, perSecond }: Zod.infer<typeof knownLimitSchema>): ObservedLimit {
+function decodeObservedLimit({
+  ageMs,
+  perSecond,
+}: Zod.infer<typeof observedLimitSchema>): ObservedLimit {
   return perSecond === undefined ? { ageMs } : { ageMs, perSecond };
 }
 
-export function decodePermitsQuestion({
+export function decodePermitsRequest({
   known,
-  ...question
-}: Zod.infer<typeof permitsQuestionSchema>): PermitsRequest {
-  return { ...question, known: decodeKnown(known) };
+  ...request
+}: Zod.infer<typeof permitsRequestSchema>): PermitsRequest {
+  return { ...request, known: decodeObservedLimit(known) };
 }
 
-/** Throws on what is no answer. */
-export function decodeLentPermits(answer: unknown): GrantedPermits {
-  const { permits, known } = lentPermitsSchema.parse(answer);
-  return known === undefined ? { permits } : { permits, known: decodeKnown(known) };
+/** Throws if the response is invalid. */
+export function decodeGrantedPermits(response: unknown): GrantedPermits {
+  const { permits, known } = grantedPermitsSchema.parse(response);
+  return known === undefined ? { permits } : { permits, known: decodeObservedLimit(known) };
 }
 
-/** The newest are learned last, and matter most. */
+/** The last blocks are the ones learned most recently, and the most relevant. */
 export function encodeBlocks(blocks: readonly ContentBlock[]): Zod.infer<typeof blocksSchema> {
   return { blocks: blocks.slice(-MAX_BLOCKS) };
 }
 
-export type LoanAnswer = Zod.infer<typeof loanAnswerSchema>;
+export type RetryQuotaResponse = Zod.infer<typeof retryQuotaResponseSchema>;
 
-/** What a question to a peer came to. */
-export type PeerAnswer =
+/** Outcome of a request for the records of a peer. */
+export type RecordsOutcome =
   | {
       readonly kind: 'records';
       readonly records: readonly DirectoryRecord[];
@@ -164,7 +170,7 @@
     }
   | { readonly kind: 'failed'; readonly reason: string };
 
-export function encodeReport(report: RolloutReport): Zod.infer<typeof reportQuestionSchema> {
+export function encodeReport(report: RolloutReport): Zod.infer<typeof reportRequestSchema> {
   const tallies = report.tallies.slice(0, MAX_TALLIES);
   return {
     ...report,
@@ -179,7 +185,7 @@
 export function decodeReport({
   tallies,
   ...report
-}: Zod.infer<typeof reportQuestionSchema>): RolloutReport {
+}: Zod.infer<typeof reportRequestSchema>): RolloutReport {
   return {
     ...report,
     tallies: tallies.map(({ target, ...tally }) =>
@@ -188,8 +194,8 @@
   };
 }
 
-/** Throws on what is no guidance. */
-export function decodeGuidance(answer: unknown): RolloutGuidance {
-  const { state, ...guidance } = guidanceSchema.parse(answer);
+/** Throws if the response is invalid. */
+export function decodeGuidance(response: unknown): RolloutGuidance {
+  const { state, ...guidance } = guidanceSchema.parse(response);
   return state === undefined ? guidance : { ...guidance, state };
 }
--- a/packages/sequoiarill-plugin-directory/src/peerServer.ts
+++ b/packages/sequoiarill-plugin-directory/src/peerServer.ts
@@ -1,4 +1,7 @@
-/** Lets other routers read the directory of this one and borrow repeats of it, over tRPC. */
+/**
+ * tRPC server for other routers: they read this router's directory, acquire retry quota and
+ * permits, and report rollouts and crashes.
+ */
 import * as Http from 'node:http';
 
 import * as Kernel from '@sequoiarill/kernel';
@@ -20,7 +23,7 @@
 import type { StoreFollower } from './storeFollower';
 
 export interface PeerServer {
-  /** Gives the `IP:port` that it listens on. */
+  /** Returns the `IP:port` that the server listens on. */
   readonly start: () => Promise<string>;
   readonly stop: () => Promise<void>;
 }
@@ -29,71 +32,84 @@
   readonly state: Pick<DirectoryState, 'listRecordsAfter' | 'subscribe'>;
   readonly follower: Pick<StoreFollower, 'getSeenRevision' | 'getAgeMs'>;
   readonly clock: Pick<Clock, 'waitMs'>;
-  readonly lendRepeats: (loan: RetryQuotaRequest) => number;
-  readonly lendPermits: (question: PermitsRequest) => GrantedPermits;
+  readonly grantRetryQuota: (request: RetryQuotaRequest) => number;
+  readonly grantPermits: (request: PermitsRequest) => GrantedPermits;
   readonly handleReport: (report: RolloutReport) => RolloutGuidance;
 }
 
-/** Ends with news, after the time, or when what is known here gets too old to wait on it. */
-async function waitForNews(options: PeerServerOptions, after: number, waitMs: number) {
+/**
+ * Returns on an update, after the given time, or when the state here becomes too old to wait any
+ * longer.
+ */
+async function waitForUpdates(options: PeerServerOptions, after: number, waitMs: number) {
   const { state, follower, clock } = options;
   if (follower.getSeenRevision() > after) return;
-  const leftMs = Math.min(waitMs, Math.max(0, StoreFollowers.MAX_AGE_MS - follower.getAgeMs()));
-  const news = new AbortController();
-  const unsubscribe = state.subscribe(() => news.abort());
-  await clock.waitMs(leftMs, news.signal);
+  const leftMs = Math.min(
+    waitMs,
+    Math.max(0, StoreFollowers.MAX_READER_AGE_MS - follower.getAgeMs()),
+  );
+  const updated = new AbortController();
+  const unsubscribe = state.subscribe(() => updated.abort());
+  await clock.waitMs(leftMs, updated.signal);
   unsubscribe();
 }
 
 /**
- * Load pattern: routers that know nothing ask others while the store is slow, each for everything. Whole
- * answers fill the links of those that know, and nobody gets one in time. So the oldest changes come
- * first, as many as a small link carries at once, and the next question goes on from there.
+ * Load pattern: routers without any state query others while the store is slow, each for
+ * everything. Complete responses would fill the links of the queried routers, and none would arrive
+ * in time. So the oldest changes come first, as many as a small link carries at once, and the next
+ * request continues from there.
  */
-function buildAnswer(
+function buildResponse(
   { state, follower }: Pick<PeerServerOptions, 'state' | 'follower'>,
   after: number,
-): Messages.RecordsAnswer {
-  const ageMs = Math.min(Messages.MAX_AGE_MS, Math.round(follower.getAgeMs()));
-  const news = [...state.listRecordsAfter(after)].sort(
+): Messages.RecordsResponse {
+  const ageMs = Math.min(Messages.MAX_REPORTED_AGE_MS, Math.round(follower.getAgeMs()));
+  const all = [...state.listRecordsAfter(after)].sort(
     (left, right) => left.revision - right.revision,
   );
-  const last = news[Messages.MAX_RECORDS - 1]?.revision;
-  if (last === undefined) return { records: news, seenRevision: follower.getSeenRevision(), ageMs };
-  // Keys that were written together stay together; a router that has not read all knows of no end.
-  const records = news.filter(({ revision }) => revision <= last);
+  const last = all[Messages.MAX_RECORDS - 1]?.revision;
+  if (last === undefined) return { records: all, seenRevision: follower.getSeenRevision(), ageMs };
+  // Keys that were written together stay together. While the first read is unfinished, this router
+  // has seen no revision completely and reports 0.
+  const records = all.filter(({ revision }) => revision <= last);
   return { records, seenRevision: Math.min(last, follower.getSeenRevision()), ageMs };
 }
 
-/** A mutation: its input is then in the body, which has no limit of length like a path. */
+/**
+ * The procedures are mutations: their input is sent in the body, which is not limited in length
+ * like a path.
+ */
 export function createPeerRouter(options: PeerServerOptions) {
   const { router, procedure } = Trpc.initTRPC.create();
   return router({
     readRecords: procedure
-      .input(Messages.recordsQuestionSchema)
-      .mutation(async ({ input }): Promise<Messages.RecordsAnswer> => {
-        await waitForNews(options, input.afterRevision, input.waitMs);
-        return buildAnswer(options, input.afterRevision);
+      .input(Messages.recordsRequestSchema)
+      .mutation(async ({ input }): Promise<Messages.RecordsResponse> => {
+        await waitForUpdates(options, input.afterRevision, input.waitMs);
+        return buildResponse(options, input.afterRevision);
       }),
     lendRepeats: procedure
-      .input(Messages.loanQuestionSchema)
-      .mutation(({ input }): Messages.LoanAnswer => ({ repeats: options.lendRepeats(input) })),
-    reportCrashes: procedure.input(Messages.crashesQuestionSchema).mutation(({ input }) => {
+      .input(Messages.retryQuotaRequestSchema)
+      .mutation(({ input }): Messages.RetryQuotaResponse => ({
+        repeats: options.grantRetryQuota(input),
+      })),
+    reportCrashes: procedure.input(Messages.crashesRequestSchema).mutation(({ input }) => {
       options.handleCrashes(input.crashes);
     }),
-    reportAnswers: procedure.input(Messages.answersQuestionSchema).mutation(({ input }) => {
+    reportAnswers: procedure.input(Messages.answersRequestSchema).mutation(({ input }) => {
       options.handleAnswers(input.answers);
     }),
     exchangeBlocks: procedure
       .input(Messages.blocksSchema)
       .mutation(({ input }) => Messages.encodeBlocks(options.handleBlocks(input.blocks))),
     lendPermits: procedure
-      .input(Messages.permitsQuestionSchema)
+      .input(Messages.permitsRequestSchema)
       .mutation(({ input }): GrantedPermits =>
-        options.lendPermits(Messages.decodePermitsQuestion(input)),
+        options.grantPermits(Messages.decodePermitsRequest(input)),
       ),
     reportRollout: procedure
-      .input(Messages.reportQuestionSchema)
+      .input(Messages.reportRequestSchema)
       .mutation(({ input }): RolloutGuidance => options.handleReport(Messages.decodeReport(input))),
   });
 }
--- a/packages/sequoiarill-plugin-directory/src/plugin.ts
+++ b/packages/sequoiarill-plugin-directory/src/plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in `directory`: knows what is forwarded where and which targets live. */
+/** Plug-in `directory`: provides the configured routes and the running targets. */
 import * as Kernel from '@sequoiarill/kernel';
 import type {
   CrashHandlers,
@@ -13,8 +13,8 @@
 import * as DirectoryStates from './directoryState';
 import * as Events from './events';
 import * as PeerClients from './peerClient';
-import * as PeerNews from './peerNews';
 import * as PeerServers from './peerServer';
+import * as PeerUpdates from './peerUpdates';
 import * as Registrations from './registration';
 import * as StoreFollowers from './storeFollower';
 import * as ZoneReaders from './zoneReaders';
@@ -23,7 +23,7 @@
 export const settingsSchema = Zod.strictObject({
   /** `IP:port` for other routers. */
   listen: Kernel.addressSchema,
-  /** `IP:port` of some routers, for the time before the store has named any. */
+  /** `IP:port` of some routers, for the time before the store has provided any. */
   seeds: Kernel.listSchema.default([]),
 });
 
@@ -33,8 +33,11 @@
   handleBlocks: () => [],
 };
 const NO_GUIDANCE: RolloutGuidance = { isHalted: false, avoided: [] };
-/** A shorter silence of the store is no outage; a restart takes longer as well. Milliseconds. */
-const NEWS_MS = 1_000;
+/**
+ * Shorter interruptions of the store do not count as an outage; the restart of a target takes
+ * longer, too.
+ */
+const MIN_OUTAGE_MS = 1_000;
 
 export type DirectorySettings = Readonly<Zod.infer<typeof settingsSchema>>;
 
@@ -47,11 +50,11 @@
     logEvent,
     getNowMs: clock.getNowMs,
   });
-  /** Bound when the server has started: the port may be left to the system. */
-  let self = settings.listen;
+  /** The bound address once the server has started: the operating system may assign the port. */
+  let ownAddress = settings.listen;
   const client = PeerClients.createPeerClient(wire.headers, clock);
-  const readers = ZoneReaders.createZoneReaders({
-    getSelf: () => self,
+  const zoneReaders = ZoneReaders.createZoneReaders({
+    getOwnAddress: () => ownAddress,
     zone: context.process.zone,
     listRouters: state.listRouters,
     getNowMs: clock.getNowMs,
@@ -62,28 +65,28 @@
     clock,
     logEvent,
     nextRandom,
-    ...readers,
+    ...zoneReaders,
     readPeer: client.readRecords,
   });
-  let lender: Parameters<RouterPeers['setRetryQuotaLender']>[0] | undefined;
+  let grantRetryQuota: Parameters<RouterPeers['setRetryQuotaLender']>[0] | undefined;
   let reportHandler: Parameters<RouterPeers['setReportHandler']>[0] = () => NO_GUIDANCE;
-  let permitsLender: Parameters<RouterPeers['setPermitsLender']>[0] = () => ({ permits: 0 });
+  let grantPermits: Parameters<RouterPeers['setPermitsLender']>[0] = () => ({ permits: 0 });
   let crashHandlers = NO_CRASH_HANDLERS;
   const server = PeerServers.createPeerServer(
     {
       state,
       follower,
       clock,
-      lendRepeats: (loan) => lender?.(loan) ?? 0,
+      grantRetryQuota: (request) => grantRetryQuota?.(request) ?? 0,
       handleReport: (report) => reportHandler(report),
-      lendPermits: (question) => permitsLender(question),
+      grantPermits: (request) => grantPermits(request),
       handleCrashes: (crashes) => crashHandlers.handleCrashes(crashes),
       handleAnswers: (answers) => crashHandlers.handleAnswers(answers),
       handleBlocks: (blocks) => crashHandlers.handleBlocks(blocks),
     },
     settings.listen,
   );
-  const news = PeerNews.createPeerNews({
+  const peerUpdates = PeerUpdates.createPeerUpdates({
     state,
     client,
     clock,
@@ -93,13 +96,13 @@
     getSeenRevision: follower.getSeenRevision,
     getLostSinceMs: follower.getLostSinceMs,
   });
-  const key = `${wire.ownPrefix}routers/${context.process.name}`;
+  const ownKey = `${wire.ownPrefix}routers/${context.process.name}`;
   const stopping = new AbortController();
   let running: Promise<unknown> | undefined;
 
-  function hasNews(): boolean {
+  function isUpToDate(): boolean {
     const lostSinceMs = follower.getLostSinceMs();
-    return lostSinceMs === undefined || clock.getNowMs() - lostSinceMs < NEWS_MS;
+    return lostSinceMs === undefined || clock.getNowMs() - lostSinceMs < MIN_OUTAGE_MS;
   }
 
   function listPeers(): readonly string[] {
@@ -107,34 +110,37 @@
       ...state.listRouters().map(({ address }) => address),
       ...settings.seeds,
     ]);
-    peers.delete(self);
+    peers.delete(ownAddress);
     return [...peers];
   }
 
-  /** Routers of this zone first: they answer soonest, and are there when the zone is cut off. */
+  /**
+   * Routers of the local zone come first: they respond fastest and remain reachable when the zone
+   * is cut off.
+   */
   function listNearest(): readonly string[] {
     const { zone } = context.process;
-    const others = state.listRouters().filter(({ address }) => address !== self);
-    const places = others.map((router) => ({ router, place: nextRandom() }));
-    return places
-      .map(({ router, place }) => ({ router, place: router.zone === zone ? place : 1 + place }))
-      .sort((left, right) => left.place - right.place)
+    const others = state.listRouters().filter(({ address }) => address !== ownAddress);
+    const ranked = others.map((router) => ({ router, rank: nextRandom() }));
+    return ranked
+      .map(({ router, rank }) => ({ router, rank: router.zone === zone ? rank : 1 + rank }))
+      .sort((left, right) => left.rank - right.rank)
       .map(({ router }) => router.address);
   }
 
   const peers: RouterPeers = {
     listNearest,
-    borrowRetryQuota: client.borrowRepeats,
-    setRetryQuotaLender(lendRepeats) {
-      lender = lendRepeats;
+    borrowRetryQuota: client.acquireRetryQuota,
+    setRetryQuotaLender(grantQuota) {
+      grantRetryQuota = grantQuota;
     },
     get self() {
-      return self;
+      return ownAddress;
     },
     listRouters: state.listRouters,
-    borrowPermits: client.borrowPermits,
-    setPermitsLender(lend) {
-      permitsLender = lend;
+    borrowPermits: client.acquirePermits,
+    setPermitsLender(grant) {
+      grantPermits = grant;
     },
     sendReport: client.sendReport,
     reportCrashes: client.reportCrashes,
@@ -149,14 +155,14 @@
   };
 
   return {
-    capabilities: { directory: { ...state, isUpToDate: hasNews }, peers },
+    capabilities: { directory: { ...state, isUpToDate }, peers },
     async start() {
-      self = await server.start();
-      const entry = { address: self, zone: context.process.zone };
+      ownAddress = await server.start();
+      const entry = { address: ownAddress, zone: context.process.zone };
       running = Promise.all([
         follower.run(stopping.signal),
-        news.run(stopping.signal),
-        Registrations.runRegistration({ store, clock, key, entry }, stopping.signal),
+        peerUpdates.run(stopping.signal),
+        Registrations.runRegistration({ store, clock, key: ownKey, entry }, stopping.signal),
       ]);
     },
     async stop() {
@@ -168,7 +174,7 @@
       isConnected: follower.isConnected(),
       revision: state.getRevision(),
       peers: listPeers().length,
-      reader: readers.chooseReader(),
+      reader: zoneReaders.chooseReader(),
       ageMs: Math.round(follower.getAgeMs()),
       version: state.getConfiguration()?.version,
       routes: state.getConfiguration()?.routes.length ?? 0,
--- a/packages/sequoiarill-plugin-directory/src/readerChoice.ts
+++ b/packages/sequoiarill-plugin-directory/src/readerChoice.ts
@@ -1,21 +1,23 @@
 /**
- * Which routers of a zone read the store, and whom the others ask.
+ * Selects the routers of a zone that read the store, and the reader that each of the others
+ * queries.
  *
- * Load pattern: growth. A watch on each router costs a call for each change and each wait, paid by all;
- * with a few readers in each zone calls grow with zones, not with routers. Small zones read directly, since
- * a reader between saves less there than it risks. Nobody is elected: all routers compute the same
- * readers from the entries of the directory, and one that finds none of them fit reads the store itself
- * until one is.
+ * Load pattern: growth. If each router watches the store, every change and every expired wait costs
+ * a call per router, at the expense of all. With a few readers in each zone, calls grow with zones,
+ * not with routers. Small zones read directly, because a reader in between saves less there than it
+ * risks. There is no election: all routers compute the same readers from the entries of the
+ * directory, and a router for which all readers are excluded reads the store itself until one is
+ * usable.
  */
 import * as Decisions from '@sequoiarill/decisions';
 
-export interface ReaderQuestion {
-  readonly self: string;
+export interface ReaderQuery {
+  readonly ownAddress: string;
   readonly zone: string;
-  /** All routers that are known, this one too. */
+  /** All known routers, including this one. */
   readonly routers: readonly ZoneRouter[];
-  /** `IP:port` of routers that did not answer lately, or knew nothing. */
-  readonly unfit: ReadonlySet<string>;
+  /** `IP:port` of routers that recently did not respond or were out of date. */
+  readonly excluded: ReadonlySet<string>;
 }
 
 export interface ZoneRouter {
@@ -23,29 +25,29 @@
   readonly zone: string;
 }
 
-/** Zones up to this many routers read directly. */
-const MAX_DIRECT = 4;
-/** Routers for each reader: it answers about two questions a second of each. */
+/** Zones with up to this many routers read directly. */
+const MAX_DIRECT_ROUTERS = 4;
+/** A reader serves about two requests per second from each of them. */
 const ROUTERS_PER_READER = 16;
-/** One reader may be cut off or end at any moment. */
+/** One reader may be cut off or terminate at any time. */
 const MIN_READERS = 2;
 
 function listLocal(routers: readonly ZoneRouter[], zone: string): readonly string[] {
   return routers.filter((router) => router.zone === zone).map(({ address }) => address);
 }
 
-/** Whether some routers of the zone are asked by the others. */
+/** Whether the zone has readers that its other routers query. */
 export function hasReaders(routers: readonly ZoneRouter[], zone: string): boolean {
-  return listLocal(routers, zone).length > MAX_DIRECT;
+  return listLocal(routers, zone).length > MAX_DIRECT_ROUTERS;
 }
 
-/** Whom to ask; undefined for a router that reads the store itself. */
-export function chooseReader(question: ReaderQuestion): string | undefined {
-  const { self, zone, routers, unfit } = question;
+/** Returns the reader to query, or undefined for a router that reads the store itself. */
+export function chooseReader(query: ReaderQuery): string | undefined {
+  const { ownAddress, zone, routers, excluded } = query;
   const local = listLocal(routers, zone);
-  if (local.length <= MAX_DIRECT) return undefined;
-  const count = Math.max(MIN_READERS, Math.ceil(local.length / ROUTERS_PER_READER));
-  const readers = Decisions.sortByRank(local, zone).slice(0, count);
-  if (readers.includes(self)) return undefined;
-  return Decisions.sortByRank(readers, self).find((reader) => !unfit.has(reader));
+  if (local.length <= MAX_DIRECT_ROUTERS) return undefined;
+  const readerCount = Math.max(MIN_READERS, Math.ceil(local.length / ROUTERS_PER_READER));
+  const readers = Decisions.sortByRank(local, zone).slice(0, readerCount);
+  if (readers.includes(ownAddress)) return undefined;
+  return Decisions.sortByRank(readers, ownAddress).find((reader) => !excluded.has(reader));
 }
--- a/packages/sequoiarill-plugin-directory/src/registration.ts
+++ b/packages/sequoiarill-plugin-directory/src/registration.ts
@@ -1,4 +1,4 @@
-/** Writes this router's address into the store, so that others find it, for as long as it lives. */
+/** Writes this router's address into the store, so that others find it, while the router runs. */
 import type { Clock, KeyValueStore } from '@sequoiarill/types';
 
 import * as RouterEntries from './routerEntry';
@@ -11,9 +11,11 @@
   readonly entry: RouterEntry;
 }
 
-/** Long against an outage of seconds; an address that lingers costs others one failed call. */
+/**
+ * Much longer than an outage of seconds; an outdated address costs other routers one failed call.
+ */
 const LEASE_SECONDS = 20;
-/** Two refreshes may fail before the lease lapses; milliseconds. */
+/** Two renewals may fail before the lease expires. */
 const REFRESH_MS = 6_000;
 const RETRY_MS = 2_000;
 
@@ -28,21 +30,21 @@
     const lease = await store.grantLease(LEASE_SECONDS);
     if (lease.kind !== 'granted') return false;
     const writes = [{ key, value: RouterEntries.encodeRouter(entry), leaseId: lease.leaseId }];
-    const written = await store.writeTransaction({ comparisons: [], writes });
-    if (written.kind !== 'written') return false;
+    const outcome = await store.writeTransaction({ comparisons: [], writes });
+    if (outcome.kind !== 'written') return false;
     leaseId = lease.leaseId;
     return true;
   }
 
-  async function updateLease(held: string): Promise<boolean> {
-    const kept = await store.refreshLease(held);
-    if (kept.kind === 'expired') leaseId = undefined;
-    return kept.kind === 'granted';
+  async function renewLease(currentLeaseId: string): Promise<boolean> {
+    const refreshed = await store.refreshLease(currentLeaseId);
+    if (refreshed.kind === 'expired') leaseId = undefined;
+    return refreshed.kind === 'granted';
   }
 
   while (!signal.aborted) {
-    const isDone = leaseId === undefined ? await writeEntry() : await updateLease(leaseId);
-    await clock.waitMs(isDone ? REFRESH_MS : RETRY_MS, signal);
+    const hasSucceeded = leaseId === undefined ? await writeEntry() : await renewLease(leaseId);
+    await clock.waitMs(hasSucceeded ? REFRESH_MS : RETRY_MS, signal);
   }
   if (leaseId !== undefined) await store.revokeLease(leaseId);
 }
--- a/packages/sequoiarill-plugin-directory/src/routerEntry.ts
+++ b/packages/sequoiarill-plugin-directory/src/routerEntry.ts
@@ -1,4 +1,4 @@
-/** What a router writes of itself into the store, so that others find it. */
+/** Entry that a router writes into the store, so that others find it. */
 import * as Kernel from '@sequoiarill/kernel';
 import * as Zod from 'zod';
 
@@ -14,7 +14,7 @@
   return JSON.stringify(entry);
 }
 
-/** Undefined for what no router wrote. */
+/** Returns undefined for text that is not a router entry. */
 export function decodeRouter(text: string): RouterEntry | undefined {
   try {
     const parsed = entrySchema.safeParse(JSON.parse(text));
--- a/packages/sequoiarill-plugin-directory/src/storeFollower.ts
+++ b/packages/sequoiarill-plugin-directory/src/storeFollower.ts
@@ -1,14 +1,14 @@
 /**
- * Follows the store: reads everything once, then watches from there, or asks a router of the zone that
- * does so.
+ * Follows the store: reads everything once, then watches from there, or queries a reader of the
+ * zone that does so.
  */
 import type { Clock, KeyValueStore, LogEvent, WatchEvent } from '@sequoiarill/types';
 
 import type { DirectoryState } from './directoryState';
 import * as Events from './events';
-import type { PeerAnswer } from './peerMessages';
-import type { DirectoryRecord } from './recordLog';
-import * as WholeReadings from './wholeReading';
+import * as FullReads from './fullRead';
+import type { RecordsOutcome } from './peerMessages';
+import type { DirectoryRecord } from './recordCache';
 
 export interface StoreFollowerOptions {
   readonly store: KeyValueStore;
@@ -16,69 +16,84 @@
   readonly clock: Clock;
   readonly logEvent: LogEvent;
   readonly nextRandom: () => number;
-  /** The router that is asked in place of the store; undefined while the store itself is watched. */
+  /** The router to query instead of the store; undefined while the store itself is watched. */
   readonly chooseReader: () => string | undefined;
-  /** The router asked did not answer, or what it knows is old: it is not chosen for a while. */
-  readonly recordUnfit: (reader: string) => void;
-  readonly readPeer: (reader: string, afterRevision: number, waitMs: number) => Promise<PeerAnswer>;
-  /** Longest wait of a watch that others hang on, milliseconds; undefined where nobody does. */
+  /** Excludes a reader for a while, because it did not respond or is out of date. */
+  readonly recordReaderFailure: (reader: string) => void;
+  readonly readPeer: (
+    reader: string,
+    afterRevision: number,
+    waitMs: number,
+  ) => Promise<RecordsOutcome>;
+  /**
+   * Longest wait of a watch that other routers depend on, in milliseconds; undefined if none does.
+   */
   readonly getWatchWaitMs: () => number | undefined;
 }
 
 export interface StoreFollower {
-  /** Follows until the signal is aborted. */
+  /** Follows the store until the signal is aborted. */
   readonly run: (signal: AbortSignal) => Promise<void>;
-  /** Everything up to it was seen. */
+  /** All changes up to this revision were seen. */
   readonly getSeenRevision: () => number;
-  /** Time since the store last told so, to this router or to the one that it asks, milliseconds. */
+  /** Time since the store last confirmed this to the router or to its reader, in milliseconds. */
   readonly getAgeMs: () => number;
-  /** The last call was answered. */
+  /** Whether the last call was answered. */
   readonly isConnected: () => boolean;
-  /** Since when the store has not answered; undefined while it does. Monotonic milliseconds. */
+  /**
+   * Time since which the store has not responded; undefined while it does. Monotonic milliseconds.
+   */
   readonly getLostSinceMs: () => number | undefined;
 }
 
-/** One watch sees operators' and targets' keys alike: each watch that waits is a call that is paid. */
+/**
+ * One watch covers the keys of operators and of targets: each waiting watch is a call that costs.
+ */
 const WATCHED_PREFIX = '';
 /**
- * Pause after changes before the next ones are asked for, milliseconds. Targets that restart together
- * write one after the other, and each change alone would cost a call; it stays well below the two
- * seconds in which a change must be in force.
+ * Pause after changes before the next ones are requested. Targets that restart together write one
+ * after the other, and each single change would cost a call. The pause is well below the two
+ * seconds within which a change must be in force.
  */
 const BATCH_PAUSE_MS = 350;
-/** Wait of a watch that other routers hang on, milliseconds: they see by its age whether it lives. */
-export const READER_WAIT_MS = 700;
 /**
- * What is older than this is not waited on, milliseconds: more than a reader's wait, its pause after
- * changes and the answer take together, and so little that a router which then asks the store itself
- * has a change in force within two seconds.
+ * Wait of a watch that other routers depend on: they recognise a failed reader by the age of its
+ * state.
+ */
+export const READER_WATCH_WAIT_MS = 700;
+/**
+ * Age at which the state of a reader is rejected. It is more than a reader's wait, its pause after
+ * changes and the response take together, and so little that a router which then queries the store
+ * itself has a change in force within two seconds.
  */
-export const MAX_AGE_MS = 1_300;
-/** Time that a reader may wait for news before it answers, milliseconds. */
-const PEER_WAIT_MS = 600;
-/** First and longest wait after a failed call, milliseconds; doubles in between, half of it random. */
-const RETRY_MS = 150;
+export const MAX_READER_AGE_MS = 1_300;
+/** How long a reader may wait for updates before it responds. */
+const READER_QUERY_WAIT_MS = 600;
+/** First and longest wait after a failed call. It doubles in between, and half of it is random. */
+const MIN_RETRY_MS = 150;
 const MAX_RETRY_MS = 1_200;
-/** Targets that live are back in the store about this long after the store is, milliseconds. */
-export const REAPPEAR_MS = 2_300;
-/** A call that fails within this time of the last good one is no outage yet, milliseconds. */
-const OUTAGE_MS = 1_000;
+/**
+ * About this long after the store responds again, running targets have written their entries again.
+ */
+export const REREGISTRATION_MS = 2_300;
+/** Shorter interruptions do not count as an outage. */
+const MIN_OUTAGE_MS = 1_000;
 
 export function createStoreFollower(options: StoreFollowerOptions): StoreFollower {
   const { store, state, clock, logEvent } = options;
-  const reading = WholeReadings.createWholeReading(store, state, WATCHED_PREFIX);
+  const fullRead = FullReads.createFullRead(store, state, WATCHED_PREFIX);
   let lostSinceMs: number | undefined = clock.getNowMs();
-  let lastReason = 'starting';
-  /** Everything up to it was seen. */
+  let lastFailureReason = 'starting';
+  /** All changes up to this revision were seen. */
   let seenRevision = 0;
-  let hasReadAll = false;
-  /** Everything must be read before a watch can go on. */
-  let mustRead = true;
-  /** As of when `seenRevision` was the newest. */
+  let hasCompletedRead = false;
+  /** Whether everything must be read before a watch can continue. */
+  let isFullReadDue = true;
+  /** Time as of which `seenRevision` was the newest revision. */
   let freshAtMs = Number.NEGATIVE_INFINITY;
 
   function markLost(reason: string): void {
-    lastReason = reason;
+    lastFailureReason = reason;
     if (lostSinceMs !== undefined) return;
     lostSinceMs = clock.getNowMs();
     logEvent(Events.STORE_LOST, { revision: seenRevision, reason });
@@ -88,29 +103,29 @@
     freshAtMs = Math.max(freshAtMs, clock.getNowMs() - ageMs);
   }
 
-  function markAnswered(): void {
+  function markConnected(): void {
     if (lostSinceMs === undefined) return;
     const nowMs = clock.getNowMs();
     const lastedMs = nowMs - lostSinceMs;
     lostSinceMs = undefined;
-    // A router that started in an outage knows its targets from peers.
-    const hasTargets = hasReadAll || state.getRevision() > 0;
-    if (hasTargets && lastedMs > OUTAGE_MS) state.holdRemovalsUntil(nowMs + REAPPEAR_MS);
-    logEvent(Events.STORE_REGAINED, { lastedMs: Math.round(lastedMs), reason: lastReason });
+    // A router that started during an outage knows its targets from peers.
+    const hasTargets = hasCompletedRead || state.getRevision() > 0;
+    if (hasTargets && lastedMs > MIN_OUTAGE_MS) state.delayRemovalsUntil(nowMs + REREGISTRATION_MS);
+    logEvent(Events.STORE_REGAINED, { lastedMs: Math.round(lastedMs), reason: lastFailureReason });
   }
 
-  async function readNextPage(): Promise<'whole' | 'more' | 'failed'> {
-    const end = await reading.readNextPage();
-    if (end.kind === 'failed') {
-      markLost(end.reason);
+  async function readNextPage(): Promise<'complete' | 'more' | 'failed'> {
+    const result = await fullRead.readNextPage();
+    if (result.kind === 'failed') {
+      markLost(result.reason);
       return 'failed';
     }
-    markAnswered();
-    if (end.kind === 'more') return 'more';
-    seenRevision = Math.max(seenRevision, end.revision);
-    hasReadAll = true;
+    markConnected();
+    if (result.kind === 'more') return 'more';
+    seenRevision = Math.max(seenRevision, result.revision);
+    hasCompletedRead = true;
     markFresh();
-    return 'whole';
+    return 'complete';
   }
 
   function applyChanges(event: Extract<WatchEvent, { kind: 'changes' }>): void {
@@ -122,24 +137,24 @@
   }
 
   /**
-   * After `ended` and `changed` another watch goes on from there, after `historyGone` everything must be
-   * read.
+   * After `ended` and `changed` another watch continues from there, after `compacted` everything
+   * must be read.
    *
-   * Failure: a router starts before it knows any other, and its watch waits as long as it may. Others
-   * come to hang on it, find what it knows old whenever nothing changes for a second, and all watch the
-   * store themselves. So a watch ends when its wait is not the one that is due any more.
+   * Failure: a router starts before it knows any other, and its watch waits as long as it may.
+   * Others come to depend on it, find it out of date whenever nothing changes for a second, and all
+   * watch the store themselves. So a watch ends when its wait differs from the one that is due.
    */
-  async function runWatch(signal: AbortSignal): Promise<'ended' | 'historyGone' | 'changed'> {
+  async function runWatch(signal: AbortSignal): Promise<'ended' | 'compacted' | 'changed'> {
     const waitMs = options.getWatchWaitMs();
     for await (const event of store.watchPrefix(WATCHED_PREFIX, seenRevision + 1, signal, waitMs)) {
-      markAnswered();
+      markConnected();
       markFresh();
       if (event.kind === 'compacted') {
         logEvent(Events.HISTORY_GONE, { revision: seenRevision });
-        return 'historyGone';
+        return 'compacted';
       }
       applyChanges(event);
-      state.removeDue();
+      state.removeDueTargets();
       if (event.changes.length > 0) await clock.waitMs(BATCH_PAUSE_MS, signal);
       if (options.chooseReader() !== undefined || options.getWatchWaitMs() !== waitMs) {
         return 'changed';
@@ -148,61 +163,61 @@
     return 'ended';
   }
 
-  /** Ends when the reader is unfit, or another one is to be asked. */
-  async function runPeerWatch(reader: string, signal: AbortSignal): Promise<void> {
+  /** Returns when the reader has failed, or when another one is to be queried. */
+  async function runReaderPolling(reader: string, signal: AbortSignal): Promise<void> {
     while (!signal.aborted && options.chooseReader() === reader) {
-      const answer = await options.readPeer(reader, seenRevision, PEER_WAIT_MS);
-      if (answer.kind === 'failed' || answer.ageMs >= MAX_AGE_MS) {
-        const reason = answer.kind === 'failed' ? answer.reason : 'what it knows is old';
+      const outcome = await options.readPeer(reader, seenRevision, READER_QUERY_WAIT_MS);
+      if (outcome.kind === 'failed' || outcome.ageMs >= MAX_READER_AGE_MS) {
+        const reason = outcome.kind === 'failed' ? outcome.reason : 'its state is out of date';
         logEvent(Events.READER_LEFT, { reader, revision: seenRevision, reason });
-        options.recordUnfit(reader);
+        options.recordReaderFailure(reader);
         return;
       }
-      markAnswered();
-      markFresh(answer.ageMs);
-      state.applyRecords(answer.records);
-      seenRevision = Math.max(seenRevision, answer.seenRevision);
-      state.removeDue();
-      if (answer.records.length > 0) await clock.waitMs(BATCH_PAUSE_MS, signal);
+      markConnected();
+      markFresh(outcome.ageMs);
+      state.applyRecords(outcome.records);
+      seenRevision = Math.max(seenRevision, outcome.seenRevision);
+      state.removeDueTargets();
+      if (outcome.records.length > 0) await clock.waitMs(BATCH_PAUSE_MS, signal);
     }
   }
 
   async function waitToRetry(failures: number, signal: AbortSignal): Promise<void> {
-    const waitMs = Math.min(MAX_RETRY_MS, RETRY_MS * 2 ** failures);
+    const waitMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** failures);
     await clock.waitMs(waitMs * (0.5 + options.nextRandom() / 2), signal);
-    state.removeDue();
+    state.removeDueTargets();
   }
 
-  /** One reading or watch; `next` says whether another one is due at once. */
+  /** Runs one read or watch; returns `next` if another one may follow immediately. */
   async function runOnce(signal: AbortSignal): Promise<'next' | 'retry'> {
-    if (mustRead) {
-      const end = await readNextPage();
-      mustRead = end !== 'whole';
-      return end === 'failed' ? 'retry' : 'next';
+    if (isFullReadDue) {
+      const result = await readNextPage();
+      isFullReadDue = result !== 'complete';
+      return result === 'failed' ? 'retry' : 'next';
     }
     const reader = options.chooseReader();
     if (reader !== undefined) {
-      await runPeerWatch(reader, signal);
+      await runReaderPolling(reader, signal);
       return 'next';
     }
-    const end = await runWatch(signal);
-    mustRead = end === 'historyGone';
-    if (end === 'ended' && !signal.aborted) markLost('a watch was not answered');
-    return end === 'ended' ? 'retry' : 'next';
+    const result = await runWatch(signal);
+    isFullReadDue = result === 'compacted';
+    if (result === 'ended' && !signal.aborted) markLost('a watch got no response');
+    return result === 'ended' ? 'retry' : 'next';
   }
 
   async function run(signal: AbortSignal): Promise<void> {
     let failures = 0;
     while (!signal.aborted) {
       const seenBefore = seenRevision;
-      const pagesBefore = reading.countPages();
+      const pagesBefore = fullRead.countPages();
       const startedMs = clock.getNowMs();
       const next = await runOnce(signal);
-      const isProgress =
+      const hasProgressed =
         seenRevision > seenBefore ||
-        reading.countPages() > pagesBefore ||
+        fullRead.countPages() > pagesBefore ||
         clock.getNowMs() - startedMs > MAX_RETRY_MS;
-      failures = isProgress ? 0 : failures + 1;
+      failures = hasProgressed ? 0 : failures + 1;
       if (next === 'retry' && !signal.aborted) await waitToRetry(failures, signal);
     }
   }
--- a/packages/sequoiarill-plugin-directory/src/targetTable.ts
+++ b/packages/sequoiarill-plugin-directory/src/targetRegistry.ts
@@ -1,15 +1,15 @@
-/** The targets that live, by key, by address and by service. */
+/** Running targets by key, by address and by service. */
 import type { ForwardingTarget } from '@sequoiarill/types';
 
-export interface TargetTable {
+export interface TargetRegistry {
   readonly set: (key: string, target: ForwardingTarget) => void;
   readonly remove: (key: string) => void;
   readonly find: (key: string) => ForwardingTarget | undefined;
   readonly getSize: () => number;
-  readonly buildGroups: () => ReadonlyMap<string, readonly ForwardingTarget[]>;
+  readonly buildGroupsByService: () => ReadonlyMap<string, readonly ForwardingTarget[]>;
 }
 
-export function createTargetTable(): TargetTable {
+export function createTargetRegistry(): TargetRegistry {
   const targets = new Map<string, ForwardingTarget>();
   const keyByAddress = new Map<string, string>();
 
@@ -21,22 +21,22 @@
   }
 
   /**
-   * Failure: a target crashes and starts again under another id before its old entry lapses; requests
-   * for the old one are refused by the new one. One address serves one life at a time: the latest.
+   * Failure: a target crashes and restarts under another id before its old entry lapses, and
+   * refuses requests for the old id. An address belongs to one incarnation at a time: the latest.
    */
   function set(key: string, target: ForwardingTarget): void {
     remove(key);
-    const otherKey = keyByAddress.get(target.address);
-    const other = otherKey === undefined ? undefined : targets.get(otherKey);
-    if (otherKey !== undefined && other !== undefined) {
-      if (other.startedAtUnixMs > target.startedAtUnixMs) return;
-      targets.delete(otherKey);
+    const previousKey = keyByAddress.get(target.address);
+    const previous = previousKey === undefined ? undefined : targets.get(previousKey);
+    if (previousKey !== undefined && previous !== undefined) {
+      if (previous.startedAtUnixMs > target.startedAtUnixMs) return;
+      targets.delete(previousKey);
     }
     targets.set(key, target);
     keyByAddress.set(target.address, key);
   }
 
-  function buildGroups(): ReadonlyMap<string, readonly ForwardingTarget[]> {
+  function buildGroupsByService(): ReadonlyMap<string, readonly ForwardingTarget[]> {
     const groups = new Map<string, ForwardingTarget[]>();
     for (const target of targets.values()) {
       const group = groups.get(target.service);
@@ -51,6 +51,6 @@
     remove,
     find: (key) => targets.get(key),
     getSize: () => targets.size,
-    buildGroups,
+    buildGroupsByService,
   };
 }
--- a/packages/sequoiarill-plugin-directory/src/zoneReaders.ts
+++ b/packages/sequoiarill-plugin-directory/src/zoneReaders.ts
@@ -1,4 +1,7 @@
-/** Whom this router asks in place of the store, from what is known and what was met lately. */
+/**
+ * Selects the reader that this router queries instead of the store, from known routers and recent
+ * failures.
+ */
 import * as ReaderChoices from './readerChoice';
 import type { RouterEntry } from './routerEntry';
 import * as StoreFollowers from './storeFollower';
@@ -6,7 +9,7 @@
 
 export interface ZoneReadersOptions {
   /** `IP:port` of this router. */
-  readonly getSelf: () => string;
+  readonly getOwnAddress: () => string;
   readonly zone: string;
   readonly listRouters: () => readonly RouterEntry[];
   readonly getNowMs: () => number;
@@ -14,43 +17,48 @@
 
 export type ZoneReaders = Pick<
   StoreFollowerOptions,
-  'chooseReader' | 'recordUnfit' | 'getWatchWaitMs'
+  'chooseReader' | 'recordReaderFailure' | 'getWatchWaitMs'
 >;
 
-/** A reader that was unfit is asked again after this, milliseconds: faults last seconds. */
-const UNFIT_MS = 8_000;
+/** A failed reader is queried again after this time: faults last seconds. */
+const READER_EXCLUSION_MS = 8_000;
 /**
- * After a reader failed the store is watched this long before another one is asked, milliseconds. Each
- * one that fails costs a second, and a change must be in force within two.
+ * After a reader failed, the store is watched for this long before another reader is queried. Each
+ * failed reader costs a second, and a change must be in force within two.
  */
-const DIRECT_MS = 4_000;
+const DIRECT_WATCH_MS = 4_000;
 
 export function createZoneReaders(options: ZoneReadersOptions): ZoneReaders {
-  const { getSelf, zone, listRouters, getNowMs } = options;
-  const unfitUntilMs = new Map<string, number>();
-  let directUntilMs = Number.NEGATIVE_INFINITY;
+  const { getOwnAddress, zone, listRouters, getNowMs } = options;
+  const excludedUntilMs = new Map<string, number>();
+  let directWatchUntilMs = Number.NEGATIVE_INFINITY;
 
-  function listUnfit(): ReadonlySet<string> {
+  function listExcluded(): ReadonlySet<string> {
     const nowMs = getNowMs();
-    for (const [reader, untilMs] of unfitUntilMs) {
-      if (untilMs <= nowMs) unfitUntilMs.delete(reader);
+    for (const [reader, untilMs] of excludedUntilMs) {
+      if (untilMs <= nowMs) excludedUntilMs.delete(reader);
     }
-    return new Set(unfitUntilMs.keys());
+    return new Set(excludedUntilMs.keys());
   }
 
   return {
     chooseReader() {
-      if (getNowMs() < directUntilMs) return undefined;
+      if (getNowMs() < directWatchUntilMs) return undefined;
       const routers = listRouters();
-      return ReaderChoices.chooseReader({ self: getSelf(), zone, routers, unfit: listUnfit() });
+      return ReaderChoices.chooseReader({
+        ownAddress: getOwnAddress(),
+        zone,
+        routers,
+        excluded: listExcluded(),
+      });
     },
-    recordUnfit(reader) {
-      directUntilMs = getNowMs() + DIRECT_MS;
-      unfitUntilMs.set(reader, getNowMs() + UNFIT_MS);
+    recordReaderFailure(reader) {
+      directWatchUntilMs = getNowMs() + DIRECT_WATCH_MS;
+      excludedUntilMs.set(reader, getNowMs() + READER_EXCLUSION_MS);
     },
     getWatchWaitMs() {
       const hasReaders = ReaderChoices.hasReaders(listRouters(), zone);
-      return hasReaders ? StoreFollowers.READER_WAIT_MS : undefined;
+      return hasReaders ? StoreFollowers.READER_WATCH_WAIT_MS : undefined;
     },
   };
 }
