--- a/bench/src/membershipSlopes.ts
+++ b/bench/src/membershipSlopes.ts
@@ -66,13 +66,13 @@
   const address = `10.0.${zone}.${index % ZONE_SIZE}:8091`;
   const process = { name, zone: `zone-${zone}`, region };
   const state = Core.createExchangeState({
-    peers: Core.createPeerTable({ process, address, incarnation: 1_700_000_000_000, hashText }),
-    targets: Core.createTargetTable(name, hashText),
+    peers: Core.createPeerRegistry({ process, address, incarnation: 1_700_000_000_000, hashText }),
+    targets: Core.createTargetHealthRegistry(name, hashText),
     detector: Core.createFailureDetector(),
     configuration: createConfiguration(),
     getNowMs,
-    onTargets: () => undefined,
-    onRecord: () => undefined,
+    onTargetsChanged: () => undefined,
+    onPeerRecord: () => undefined,
     onNewerConfiguration: () => undefined,
   });
   const rounds = Core.createRounds({ state, seeds: [], nextRandom });
@@ -116,7 +116,7 @@
     const rounds = Math.ceil(REPORT_MS / Core.ROUND_MS);
     for (let target = round % rounds; target < TARGETS_A_ZONE; target += rounds) {
       const name = `engine-z${router.zone}-${target}`;
-      router.state.targets.recordOwn(
+      router.state.targets.recordReport(
         { target: name, state: 'healthy', running: 90, waiting: 1 },
         nowMs,
       );
--- a/packages/sequoiarill-plugin-membership/src/__tests__/convergence.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/convergence.test.ts
@@ -109,7 +109,7 @@
   }
   if (taken.kind === 'report') {
     const report = { target: `engine-${taken.target}`, state: STATES[taken.state] };
-    node.state.targets.recordOwn(report, fleet.getNowMs());
+    node.state.targets.recordReport(report, fleet.getNowMs());
   }
 }
 
--- a/packages/sequoiarill-plugin-membership/src/__tests__/decisions.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/decisions.test.ts
@@ -4,12 +4,12 @@
 
 import * as ConfigurationPull from '../configurationPull';
 import * as Deltas from '../delta';
-import * as Answers from '../exchangeAnswers';
+import * as Answers from '../exchangeHandlers';
 import * as Detectors from '../failureDetector';
 import * as Publishing from '../publishing';
 import * as Facts from '../targetFact';
 import type { TargetFact } from '../targetFact';
-import * as TargetTables from '../targetTable';
+import * as TargetTables from '../targetHealthRegistry';
 import * as Fleets from './virtualFleet';
 
 function createFact(parts: Partial<TargetFact>): TargetFact {
@@ -84,7 +84,7 @@
     const fleet = Fleets.createZones(1, 1, 2);
     fleet.runMs(5_000);
     const { peers, targets, mergeRecords } = fleet.getNode('z1-1').state;
-    targets.recordOwn({ target: 't', state: 'dead' }, fleet.getNowMs());
+    targets.recordReport({ target: 't', state: 'dead' }, fleet.getNowMs());
     mergeRecords([{ ...peers.getSelf(), state: 'dead' }]);
     expect(targets.listFacts()).toEqual([]);
     expect(peers.getSelf().incarnation).toEqual(2);
@@ -113,9 +113,9 @@
   it('goes on where a cut delta ended', () => {
     // A router returns after minutes and lacks more facts than one answer holds. If the answer
     // claimed all versions, the rest would never be sent.
-    const table = TargetTables.createTargetTable('a', Fleets.hashText);
+    const table = TargetTables.createTargetHealthRegistry('a', Fleets.hashText);
     table.setRoster([{ name: 'a', incarnation: 1 }]);
-    ['t1', 't2', 't3'].forEach((target) => table.recordOwn({ target, state: 'dead' }, 0));
+    ['t1', 't2', 't3'].forEach((target) => table.recordReport({ target, state: 'dead' }, 0));
     const first = table.listDelta([0], 0, 2);
     expect(first.versions).toEqual([2]);
     const second = table.listDelta(first.versions, 0, 2);
--- a/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import * as Partners from '../partners';
-import * as PeerTables from '../peerTable';
+import * as PeerTables from '../peerRegistry';
 import * as Fleets from './virtualFleet';
 
 const SEEDS = [1, 2, 3];
@@ -38,8 +38,8 @@
     const spreads: number[] = [];
     for (let run = 0; run < 10; run += 1) {
       const target = `engine-${run}`;
-      observer?.state.targets.recordOwn({ target, state: 'dead' }, fleet.getNowMs());
-      second?.state.targets.recordOwn({ target, state: 'dead' }, fleet.getNowMs());
+      observer?.state.targets.recordReport({ target, state: 'dead' }, fleet.getNowMs());
+      second?.state.targets.recordReport({ target, state: 'dead' }, fleet.getNowMs());
       const spread = measureSpreadMs(
         fleet,
         ({ state }) => state.targets.getHealth(target, fleet.getNowMs())?.state === 'dead',
@@ -112,11 +112,11 @@
     fleet.runMs(10_000);
     const paused = fleet.getNode('z1-4');
     paused.isPaused = true;
-    paused.state.targets.recordOwn({ target: 'engine', state: 'dead' }, fleet.getNowMs());
+    paused.state.targets.recordReport({ target: 'engine', state: 'dead' }, fleet.getNowMs());
     fleet.runMs(60_000);
     expect(Fleets.listStates(fleet.getNode('z1-1'))['z1-4']).toEqual('dead');
     fleet.nodes.slice(0, 3).forEach(({ state }) => {
-      state.targets.recordOwn({ target: 'engine', state: 'healthy' }, fleet.getNowMs());
+      state.targets.recordReport({ target: 'engine', state: 'healthy' }, fleet.getNowMs());
     });
     paused.isPaused = false;
     fleet.runMs(5_000);
@@ -152,7 +152,7 @@
   });
 
   it('forgets a dead router and refuses its old incarnation afterwards', () => {
-    const table = PeerTables.createPeerTable({
+    const table = PeerTables.createPeerRegistry({
       process: { name: 'a', zone: 'z1', region: 'r1' },
       address: 'a:1',
       incarnation: 1,
--- a/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
@@ -10,7 +10,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 import * as ConfigurationPull from '../configurationPull';
-import * as Answers from '../exchangeAnswers';
+import * as Answers from '../exchangeHandlers';
 import * as States from '../exchangeState';
 import type { ExchangeState } from '../exchangeState';
 import * as Tasks from '../exchangeTasks';
@@ -18,9 +18,9 @@
 import type { PeerAnswer, PeerCall, PeerTask } from '../messages';
 import * as Partners from '../partners';
 import type { PeerRecord } from '../peerRecord';
-import * as PeerTables from '../peerTable';
+import * as PeerTables from '../peerRegistry';
 import * as Rounds from '../rounds';
-import * as TargetTables from '../targetTable';
+import * as TargetTables from '../targetHealthRegistry';
 
 export function hashText(text: string): string {
   return createHash('sha1').update(text).digest('hex').slice(0, 16);
@@ -189,18 +189,18 @@
   const address = `${name}:1`;
   const configuration = createFakeConfiguration();
   const state = States.createExchangeState({
-    peers: PeerTables.createPeerTable({
+    peers: PeerTables.createPeerRegistry({
       process: { name, zone, region },
       address,
       incarnation,
       hashText,
     }),
-    targets: TargetTables.createTargetTable(name, hashText),
+    targets: TargetTables.createTargetHealthRegistry(name, hashText),
     detector: Detectors.createFailureDetector(),
     configuration,
     getNowMs,
-    onTargets: () => undefined,
-    onRecord: () => undefined,
+    onTargetsChanged: () => undefined,
+    onPeerRecord: () => undefined,
     onNewerConfiguration: () => undefined,
   });
   const rounds = Rounds.createRounds({ state, seeds, nextRandom });
--- a/packages/sequoiarill-plugin-membership/src/exchangeAnswers.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeHandlers.ts
@@ -51,7 +51,7 @@
   const { versions, news } = input.targets;
   const nowMs = state.getNowMs();
   const roster = peers.getRoster();
-  state.onTargets(targets.mergeNews(FactCodec.decodeObservers(news, roster, nowMs)));
+  state.onTargetsChanged(targets.mergeNews(FactCodec.decodeObservers(news, roster, nowMs)));
   state.recordHeartbeats(versions);
   const delta = targets.listDelta(versions, nowMs, MAX_DELTA_FACTS);
   const observers = FactCodec.encodeObservers(delta.observers, roster, nowMs);
--- a/packages/sequoiarill-plugin-membership/src/exchangeState.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeState.ts
@@ -5,20 +5,20 @@
 import type { FailureDetector } from './failureDetector';
 import type { ExchangeInput, PeersMessage } from './messages';
 import type { PeerRecord } from './peerRecord';
-import type { MergeOutcome, PeerTable } from './peerTable';
-import type { TargetTable } from './targetTable';
+import type { MergeOutcome, PeerRegistry } from './peerRegistry';
+import type { TargetHealthRegistry } from './targetHealthRegistry';
 
 /** Changes of state that a request carries unasked; a rack's worth of targets. */
 const MAX_NEWS_FACTS = 64;
 
 export interface ExchangeOptions {
-  readonly peers: PeerTable;
-  readonly targets: TargetTable;
+  readonly peers: PeerRegistry;
+  readonly targets: TargetHealthRegistry;
   readonly detector: FailureDetector;
   readonly configuration: ConfigurationExchange;
   readonly getNowMs: () => number;
-  readonly onTargets: (targets: readonly string[]) => void;
-  readonly onRecord: (record: PeerRecord, outcome: MergeOutcome) => void;
+  readonly onTargetsChanged: (targets: readonly string[]) => void;
+  readonly onPeerRecord: (record: PeerRecord, outcome: MergeOutcome) => void;
   /** A peer showed a newer revision; it is worth asking soon. */
   readonly onNewerConfiguration: (address: string) => void;
 }
@@ -54,7 +54,7 @@
       const outcome = peers.mergeRecord(record, nowMs);
       // Others held this process for dead: what it saw meanwhile is not worth their belief.
       if (outcome === 'refuted') targets.removeOwn();
-      if (outcome !== 'known') options.onRecord(record, outcome);
+      if (outcome !== 'known') options.onPeerRecord(record, outcome);
     }
     updateRoster();
   }
--- a/packages/sequoiarill-plugin-membership/src/exchangeTasks.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeTasks.ts
@@ -62,7 +62,7 @@
   const { versions, observers } = output.targets;
   const nowMs = state.getNowMs();
   const decoded = FactCodec.decodeObservers(observers, state.peers.getRoster(), nowMs);
-  state.onTargets(state.targets.mergeDelta({ versions, observers: decoded }));
+  state.onTargetsChanged(state.targets.mergeDelta({ versions, observers: decoded }));
   state.recordHeartbeats(versions);
 }
 
--- a/packages/sequoiarill-plugin-membership/src/factCodec.ts
+++ b/packages/sequoiarill-plugin-membership/src/factCodec.ts
@@ -2,7 +2,7 @@
 import type { TargetState } from '@sequoiarill/types';
 
 import type { EncodedFact, ObserverFacts } from './messages';
-import type { RosterEntry } from './peerTable';
+import type { RosterEntry } from './peerRegistry';
 import type { TargetFact } from './targetFact';
 import type { ObserverDelta } from './delta';
 
--- a/packages/sequoiarill-plugin-membership/src/failureDetector.ts
+++ b/packages/sequoiarill-plugin-membership/src/failureDetector.ts
@@ -6,7 +6,7 @@
  * busy zone would declare half of itself dead, and each death costs a round of records.
  */
 
-import type { RosterEntry } from './peerTable';
+import type { RosterEntry } from './peerRegistry';
 
 /** Below this no silence counts: several rounds of exchange and a long garbage collection. */
 export const MIN_SUSPECT_MS = 3_000;
--- a/packages/sequoiarill-plugin-membership/src/peerTable.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerRegistry.ts
@@ -31,7 +31,7 @@
   readonly incarnation: number;
 }
 
-export interface PeerTable {
+export interface PeerRegistry {
   readonly getSelf: () => PeerRecord;
   readonly findRecord: (name: string) => PeerRecord | undefined;
   readonly listRecords: () => readonly PeerRecord[];
@@ -50,7 +50,7 @@
   readonly getRosterHash: () => string;
 }
 
-export interface PeerTableOptions {
+export interface PeerRegistryOptions {
   readonly process: ProcessSettings;
   readonly address: string;
   /** Wall clock at start; corrected upwards by what peers know. */
@@ -65,7 +65,7 @@
   readonly rosterHash: string;
 }
 
-export function createPeerTable(options: PeerTableOptions): PeerTable {
+export function createPeerRegistry(options: PeerRegistryOptions): PeerRegistry {
   const { process, address, hashText } = options;
   const records = new Map<string, PeerRecord>();
   const deadSinceMs = new Map<string, number>();
--- a/packages/sequoiarill-plugin-membership/src/peerRouter.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerRouter.ts
@@ -1,7 +1,7 @@
 /** The procedures that routers call on each other, as a tRPC router. */
 import * as Trpc from '@trpc/server';
 
-import * as Answers from './exchangeAnswers';
+import * as Answers from './exchangeHandlers';
 import type { ExchangeState } from './exchangeState';
 import * as Messages from './messages';
 
--- a/packages/sequoiarill-plugin-membership/src/plugin.ts
+++ b/packages/sequoiarill-plugin-membership/src/plugin.ts
@@ -53,7 +53,8 @@
     listPeers: () => router?.rounds.listPeers() ?? [],
     getTargetHealth: (target) => router?.state.targets.getHealth(target, context.clock.getNowMs()),
     reportTarget(report) {
-      const isChange = router?.state.targets.recordOwn(report, context.clock.getNowMs()) ?? false;
+      const isChange =
+        router?.state.targets.recordReport(report, context.clock.getNowMs()) ?? false;
       if (isChange) sendHealth([report.target]);
     },
     subscribeTargets(listener) {
--- a/packages/sequoiarill-plugin-membership/src/rounds.ts
+++ b/packages/sequoiarill-plugin-membership/src/rounds.ts
@@ -5,7 +5,7 @@
 import type { ExchangeOutcome } from './exchangeTasks';
 import * as Partners from './partners';
 import type { PeerRecord } from './peerRecord';
-import * as ZoneReaches from './zoneReach';
+import * as ZoneReaches from './zoneReachability';
 
 /**
  * A gap between rounds above this is a pause of this process: stopped, swapped out, or a blocked
--- a/packages/sequoiarill-plugin-membership/src/runningRouter.ts
+++ b/packages/sequoiarill-plugin-membership/src/runningRouter.ts
@@ -11,12 +11,12 @@
 import type { PeerRecord } from './peerRecord';
 import * as PeerRouters from './peerRouter';
 import type { PeerServer } from './peerServer';
-import type { MergeOutcome } from './peerTable';
-import * as PeerTables from './peerTable';
+import type { MergeOutcome } from './peerRegistry';
+import * as PeerTables from './peerRegistry';
 import * as PeerTasks from './peerTasks';
 import * as RoundPlans from './rounds';
 import type { Rounds } from './rounds';
-import * as TargetTables from './targetTable';
+import * as TargetTables from './targetHealthRegistry';
 
 export interface RunningRouterOptions {
   readonly context: PluginContext;
@@ -39,7 +39,7 @@
   const { default: createXxHash } = await import('xxhash-wasm');
   const { h64ToString } = await createXxHash();
   const { name } = context.process;
-  const peers = PeerTables.createPeerTable({
+  const peers = PeerTables.createPeerRegistry({
     process: context.process,
     address,
     // The wall clock only makes a restart likely to come out higher; peers correct it if not.
@@ -48,12 +48,12 @@
   });
   const state = States.createExchangeState({
     peers,
-    targets: TargetTables.createTargetTable(name, (text) => h64ToString(text)),
+    targets: TargetTables.createTargetHealthRegistry(name, (text) => h64ToString(text)),
     detector: Detectors.createFailureDetector(),
     configuration: context.getCapability('configurationExchange'),
     getNowMs: context.clock.getNowMs,
-    onTargets: options.onTargets,
-    onRecord: (record, outcome) => logRecord(context, record, outcome),
+    onTargetsChanged: options.onTargets,
+    onPeerRecord: (record, outcome) => logRecord(context, record, outcome),
     onNewerConfiguration: (peer) => tasks.startExchange(peer),
   });
   const rounds = RoundPlans.createRounds({ state, seeds, nextRandom: context.nextRandom });
--- a/packages/sequoiarill-plugin-membership/src/targetTable.ts
+++ b/packages/sequoiarill-plugin-membership/src/targetHealthRegistry.ts
@@ -9,7 +9,7 @@
 import * as Deltas from './delta';
 import type { Delta, ObserverDelta } from './delta';
 import * as FactStores from './factStore';
-import type { HashText, RosterEntry } from './peerTable';
+import type { HashText, RosterEntry } from './peerRegistry';
 import * as Publishing from './publishing';
 import * as Facts from './targetFact';
 import type { TargetFact } from './targetFact';
@@ -17,12 +17,12 @@
 /** An own sight that no decision uses any more. */
 const SIGHT_MS = 30_000;
 
-export interface TargetTable {
+export interface TargetHealthRegistry {
   readonly setRoster: (roster: readonly RosterEntry[]) => void;
   /** The next version of this process, also when nothing else changed: its heartbeat. */
   readonly recordBeat: () => void;
   /** Tells whether the observation changed the state that this router told last. */
-  readonly recordOwn: (report: TargetReport, nowMs: number) => boolean;
+  readonly recordReport: (report: TargetReport, nowMs: number) => boolean;
   /** Forgets what this process told, when others took it for dead meanwhile. */
   readonly removeOwn: () => void;
   /** By roster order. */
@@ -44,7 +44,7 @@
   version: number;
 }
 
-export function createTargetTable(self: string, hashText: HashText): TargetTable {
+export function createTargetHealthRegistry(self: string, hashText: HashText): TargetHealthRegistry {
   let observers: readonly Observer[] = [];
   let ownVersion = 0;
   const store = FactStores.createFactStore();
@@ -102,7 +102,7 @@
     recordBeat() {
       ownVersion += 1;
     },
-    recordOwn(report, nowMs) {
+    recordReport(report, nowMs) {
       ownSights.set(report.target, { ...report, observer: self, version: 0, seenMs: nowMs });
       const decision = Publishing.decidePublishing({
         report,
