--- a/packages/sequoiarill-plugin-membership/src/events.ts
+++ b/packages/sequoiarill-plugin-membership/src/events.ts
@@ -1,4 +1,4 @@
-/** Events 1500 to 1599: routers that know each other. */
+/** Log events 1500 to 1599 of the plug-in `membership`. */
 import * as Kernel from '@sequoiarill/kernel';
 
 export const LISTENING = Kernel.defineEvent(
@@ -11,61 +11,61 @@
   1501,
   'info',
   'membership.peerJoined',
-  'A router became known, came back, or restarted.',
+  'Another router was discovered, became reachable again, or restarted.',
 );
 export const PEER_LEAVING = Kernel.defineEvent(
   1502,
   'info',
   'membership.peerLeaving',
-  'A router drains and will stop.',
+  'Another router drains and will stop.',
 );
 export const PEER_DEAD = Kernel.defineEvent(
   1503,
   'warn',
   'membership.peerDead',
-  'A router is silent and nobody reaches it; check its VM unless it was taken away on purpose.',
+  'Another router sends no heartbeats and does not respond to probes; check its VM unless it was removed on purpose.',
 );
 export const DEATH_REFUTED = Kernel.defineEvent(
   1504,
   'warn',
   'membership.deathRefuted',
-  'Others held this router for dead; it takes part again. It was paused, overloaded or cut off.',
+  'Other routers considered this router dead; it has rejoined. It was paused, overloaded or partitioned.',
 );
 export const NAME_CONFLICT = Kernel.defineEvent(
   1505,
   'error',
   'membership.nameConflict',
-  'Another process runs under this name; give each its own in section [process], key name.',
+  'Another process runs under this name; set a unique key name in section [process] of each.',
 );
 export const PAUSED = Kernel.defineEvent(
   1506,
   'warn',
   'membership.paused',
-  'This process did nothing for a while; what it knew from before counts for nothing.',
+  'This process was paused; it discards the silence of other routers measured before.',
 );
 export const CALL_REFUSED = Kernel.defineEvent(
   1507,
   'warn',
   'membership.callRefused',
-  'A call to the listener for routers was not from this fleet; compare sharedKey, seeds, advertise.',
+  'The listener for other routers refused a call; compare sharedKey, seeds and advertise.',
 );
 export const ZONE_AWAY = Kernel.defineEvent(
   1508,
   'warn',
   'membership.zoneAway',
-  'Nobody answers from another zone; see docs/operators/ZONE-PARTITIONS.md.',
+  'No router of another zone responds; see docs/operators/ZONE-PARTITIONS.md.',
 );
 export const ZONE_BACK = Kernel.defineEvent(
   1509,
   'info',
   'membership.zoneBack',
-  'Another zone answers again.',
+  'Routers of another zone respond again.',
 );
 export const NO_SHARED_KEY = Kernel.defineEvent(
   1510,
   'info',
   'membership.noSharedKey',
-  'No sharedKey is set, so calls carry a signature that anybody on this machine can make.',
+  'No sharedKey is set, so any process on this machine can sign calls.',
 );
 
 export const EVENTS = [
--- a/packages/sequoiarill-plugin-membership/src/metrics.ts
+++ b/packages/sequoiarill-plugin-membership/src/metrics.ts
@@ -7,9 +7,13 @@
 export const PAUSE = 'membership.pause';
 
 export const METRICS = [
-  { name: EXCHANGES, unit: 'exchanges', meaning: 'Exchanges with other routers that were done.' },
-  { name: EXCHANGES_FAILED, unit: 'exchanges', meaning: 'Exchanges that got no answer.' },
-  { name: CALLS_REFUSED, unit: 'calls', meaning: 'Calls to the peer listener that were refused.' },
+  { name: EXCHANGES, unit: 'exchanges', meaning: 'Completed exchanges with other routers.' },
+  { name: EXCHANGES_FAILED, unit: 'exchanges', meaning: 'Exchanges that failed.' },
+  {
+    name: CALLS_REFUSED,
+    unit: 'calls',
+    meaning: 'Calls that the listener for other routers refused.',
+  },
   { name: PEERS_ALIVE, unit: 'routers', meaning: 'Routers known to be alive, this one included.' },
-  { name: PAUSE, unit: 'ms', meaning: 'Times in which this process did nothing.' },
+  { name: PAUSE, unit: 'ms', meaning: 'Duration of pauses of this process.' },
 ] as const;
