--- a/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
@@ -3,12 +3,12 @@
 import { expect } from 'earl';
 
 import * as Partners from '../partners';
-import * as PeerTables from '../peerRegistry';
+import * as PeerRegistries from '../peerRegistry';
 import * as Fleets from './virtualFleet';
 
 const SEEDS = [1, 2, 3];
 
-/** Time until all of a zone's others know, in steps of one round. */
+/** Measures the time until the condition holds on all routers, in steps of one round. */
 function measureSpreadMs(fleet: Fleets.Fleet, isKnown: (node: Fleets.Node) => boolean): number {
   const startMs = fleet.getNowMs();
   while (!fleet.nodes.every(isKnown) && fleet.getNowMs() - startMs < 60_000) {
@@ -17,21 +17,21 @@
   return fleet.getNowMs() - startMs;
 }
 
-describe('routers that find each other', () => {
+describe('discovery of routers', () => {
   for (const seed of SEEDS) {
-    it(`all know all, from one seed address (seed ${seed})`, () => {
+    it(`completes on all routers from one seed address (seed ${seed})`, () => {
       const fleet = Fleets.createZones(seed, 3, 3);
       fleet.runMs(12_000);
       const names = fleet.nodes.map(({ name }) => name).sort();
-      for (const node of fleet.nodes) expect(Fleets.listLiving(node)).toEqual(names);
+      for (const node of fleet.nodes) expect(Fleets.listAlive(node)).toEqual(names);
       const hashes = new Set(fleet.nodes.map(({ state }) => state.peers.getHash()));
       expect(hashes.size).toEqual(1);
     });
   }
 
-  it('tells 31 others of a dead target within two seconds', () => {
-    // An engine dies. The router that was streaming from it notices at once; the others would go
-    // on sending it new generations until each had lost one of its own.
+  it('notifies 31 other routers of a dead target within two seconds', () => {
+    // An engine fails. The router that was streaming from it detects this at once; without its fact
+    // each of the others would send new generations to the engine until one of them is lost.
     const fleet = Fleets.createZones(4, 1, 32);
     fleet.runMs(15_000);
     const [observer, second] = fleet.nodes;
@@ -52,9 +52,9 @@
 
 describe('failures of routers', () => {
   for (const seed of SEEDS) {
-    it(`declares a dead router dead and nobody else (seed ${seed})`, () => {
-      // A VM loses its power. Its router's share of limits must go to the others, and its name
-      // must not linger as alive; nobody else may be taken for dead on the way.
+    it(`declares only the failed router dead (seed ${seed})`, () => {
+      // A VM loses power. If its router were still listed as alive, the other routers would not
+      // take over its share of the limits. No other router may be declared dead meanwhile.
       const fleet = Fleets.createZones(seed, 3, 3);
       fleet.runMs(12_000);
       fleet.getNode('z1-2').isDown = true;
@@ -62,34 +62,34 @@
       for (const node of fleet.nodes.filter(({ isDown }) => !isDown)) {
         const states = Fleets.listStates(node);
         expect(states['z1-2']).toEqual('dead');
-        expect(Fleets.listLiving(node).length).toEqual(8);
+        expect(Fleets.listAlive(node).length).toEqual(8);
       }
     });
   }
 
-  it('lets a restarted router back in with a higher incarnation only', () => {
-    // A router is restarted on its VM. Records of its first life are still under way and arrive
-    // after those of the second; they must not show it as dead again.
+  it('accepts a restarted router only with a higher incarnation', () => {
+    // A router is restarted on its VM. Delayed records of its first incarnation arrive after those
+    // of the second; they must not mark it as dead again.
     const fleet = Fleets.createZones(5, 1, 3);
     fleet.runMs(10_000);
     fleet.getNode('z1-3').isDown = true;
     fleet.runMs(20_000);
-    const late = Fleets.findRecord(fleet.getNode('z1-1'), 'z1-3');
-    expect(late?.state).toEqual('dead');
+    const lateRecord = Fleets.findRecord(fleet.getNode('z1-1'), 'z1-3');
+    expect(lateRecord?.state).toEqual('dead');
     fleet.addNode({ name: 'z1-3', zone: 'z1', incarnation: 7, seeds: ['z1-1:1'] });
     fleet.runMs(10_000);
-    if (late !== undefined) fleet.getNode('z1-2').state.mergeRecords([late]);
+    if (lateRecord !== undefined) fleet.getNode('z1-2').state.mergeRecords([lateRecord]);
     fleet.runMs(5_000);
     for (const node of fleet.nodes.filter(({ isDown }) => !isDown)) {
       expect(Fleets.findRecord(node, 'z1-3')?.incarnation).toEqual(7);
-      expect(Fleets.listLiving(node).length).toEqual(3);
+      expect(Fleets.listAlive(node).length).toEqual(3);
     }
   });
 
-  it('lets a router back in whose clock was set back before its restart', () => {
-    // The VM's clock was an hour ahead and is corrected; the restarted router picks a lower
-    // incarnation than before. The others hold it for a late record of its first life until it
-    // learns of that and takes a higher one.
+  it('accepts a router whose clock was set back before its restart', () => {
+    // The VM's clock was an hour ahead and is corrected, so the restarted router chooses a lower
+    // incarnation than before. The others treat its records as delayed ones of the first
+    // incarnation until it learns the higher one and exceeds it.
     const fleet = Fleets.createZones(6, 1, 2);
     fleet.addNode({ name: 'z1-3', zone: 'z1', incarnation: 100, seeds: ['z1-1:1'] });
     fleet.runMs(10_000);
@@ -101,13 +101,13 @@
       fleet.getNode('z1-3').state.peers.getSelf(),
     );
     expect(fleet.getNode('z1-3').state.peers.getSelf().incarnation).toEqual(101);
-    expect(Fleets.listLiving(fleet.getNode('z1-2')).length).toEqual(3);
+    expect(Fleets.listAlive(fleet.getNode('z1-2')).length).toEqual(3);
   });
 
-  it('does not take others for dead after a pause of its own, nor pass on what it saw before', () => {
-    // The hypervisor stops a VM for a minute. On waking, its router has heard from nobody for a
-    // minute and holds an engine for dead that has long come back. It must declare nobody dead,
-    // and the others must go on using the engine.
+  it('neither declares others dead nor publishes old facts after a pause of its own process', () => {
+    // The hypervisor pauses a VM for a minute. When its router resumes, it has received nothing for
+    // a minute and considers an engine dead that has recovered. It must not declare any router
+    // dead, and the others must continue to use the engine.
     const fleet = Fleets.createZones(7, 1, 4);
     fleet.runMs(10_000);
     const paused = fleet.getNode('z1-4');
@@ -120,16 +120,16 @@
     });
     paused.isPaused = false;
     fleet.runMs(5_000);
-    expect(Fleets.listLiving(paused)).toEqual(['z1-1', 'z1-2', 'z1-3', 'z1-4']);
+    expect(Fleets.listAlive(paused)).toEqual(['z1-1', 'z1-2', 'z1-3', 'z1-4']);
     for (const node of fleet.nodes) {
-      expect(Fleets.listLiving(node).length).toEqual(4);
+      expect(Fleets.listAlive(node).length).toEqual(4);
       expect(node.state.targets.getHealth('engine', fleet.getNowMs())?.state).toEqual('healthy');
     }
   });
 
-  it('declares nobody dead when it is cut off itself', () => {
-    // A switch port fails and cuts one router off from everybody. It cannot tell that from the
-    // death of all others, and must not come back with their death certificates.
+  it('declares no router dead while this router is partitioned itself', () => {
+    // A switch port fails and isolates one router. It cannot distinguish this from the failure of
+    // all others, and must not spread records that mark them dead when the port works again.
     const fleet = Fleets.createZones(8, 1, 4);
     fleet.runMs(10_000);
     fleet.isDelivered = (from, to) => from.name !== 'z1-4' && to.name !== 'z1-4';
@@ -139,20 +139,20 @@
     expect(Fleets.listStates(fleet.getNode('z1-1'))['z1-4']).toEqual('dead');
     fleet.isDelivered = () => true;
     fleet.runMs(20_000);
-    for (const node of fleet.nodes) expect(Fleets.listLiving(node).length).toEqual(4);
+    for (const node of fleet.nodes) expect(Fleets.listAlive(node).length).toEqual(4);
   });
 
-  it('keeps a router alive that only one other cannot reach', () => {
+  it('keeps a router alive that only one other router cannot reach', () => {
     const fleet = Fleets.createZones(9, 1, 4);
     fleet.runMs(10_000);
     fleet.isDelivered = (from, to) =>
       ![from.name, to.name].every((name) => ['z1-1', 'z1-2'].includes(name));
     fleet.runMs(60_000);
-    for (const node of fleet.nodes) expect(Fleets.listLiving(node).length).toEqual(4);
+    for (const node of fleet.nodes) expect(Fleets.listAlive(node).length).toEqual(4);
   });
 
-  it('forgets a dead router and refuses its old incarnation afterwards', () => {
-    const table = PeerTables.createPeerRegistry({
+  it('removes a dead router and rejects its old incarnation afterwards', () => {
+    const table = PeerRegistries.createPeerRegistry({
       process: { name: 'a', zone: 'z1', region: 'r1' },
       address: 'a:1',
       incarnation: 1,
@@ -168,19 +168,20 @@
     } as const;
     table.mergeRecord(record, 0);
     table.markDead('b', 0);
-    table.removeForgotten(PeerTables.FORGET_DEAD_MS);
+    table.removeExpired(PeerRegistries.DEAD_RECORD_RETENTION_MS);
     expect(table.findRecord('b')).toEqual(undefined);
-    table.mergeRecord(record, PeerTables.FORGET_DEAD_MS);
+    table.mergeRecord(record, PeerRegistries.DEAD_RECORD_RETENTION_MS);
     expect(table.findRecord('b')?.state).toEqual('dead');
-    table.mergeRecord({ ...record, incarnation: 6 }, PeerTables.FORGET_DEAD_MS);
+    table.mergeRecord({ ...record, incarnation: 6 }, PeerRegistries.DEAD_RECORD_RETENTION_MS);
     expect(table.findRecord('b')?.state).toEqual('alive');
   });
 });
 
 describe('partition of zones', () => {
-  it('keeps what each side knows, shows the other as suspect, and heals', () => {
-    // The link between zone 3 and the rest fails for ten minutes. Both sides go on; a router of
-    // zone 3 dies meanwhile and another one joins. After healing all agree on both.
+  it('preserves the state of each side, marks the other as suspect, and converges afterwards', () => {
+    // The network between zone 3 and the others fails for ten minutes. Both sides continue; one
+    // router of zone 3 fails meanwhile and another one joins. After the fault is cleared, all
+    // routers must have both changes.
     const fleet = Fleets.createZones(10, 3, 3);
     fleet.runMs(12_000);
     fleet.isDelivered = (from, to) => (from.zone === 'z3') === (to.zone === 'z3');
--- a/packages/sequoiarill-plugin-membership/src/__tests__/sockets.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/sockets.test.ts
@@ -12,7 +12,7 @@
 import * as Fleets from './virtualFleet';
 
 const KEY = '0123456789abcdef0123456789abcdef';
-/** Longer than anything here takes; a wait that ends here fails its test. */
+/** Longer than any step of these tests takes; a test fails when a wait reaches it. */
 const WAIT_LIMIT_MS = 60_000;
 
 interface Router {
@@ -57,10 +57,10 @@
   return { kernel, address, configuration, membership: kernel.getCapability('membership') };
 }
 
-async function waitUntil(isMet: () => boolean, story: string): Promise<void> {
+async function waitUntil(isMet: () => boolean, event: string): Promise<void> {
   const endMs = performance.now() + WAIT_LIMIT_MS;
   while (!isMet()) {
-    if (performance.now() > endMs) throw new Error(`never happened: ${story}`);
+    if (performance.now() > endMs) throw new Error(`never happened: ${event}`);
     await new Promise((resolve) => {
       setTimeout(resolve, 20);
     });
@@ -91,7 +91,7 @@
   for (const { kernel } of routers) await kernel.stop();
 }
 
-/** Sends a call as a stranger would; resolves to the status. */
+/** Sends a call from outside the fleet; resolves to the status code. */
 function sendCall(address: string, headers: Readonly<Record<string, string>>): Promise<number> {
   return new Promise((resolve, reject) => {
     const [host, port] = address.split(':');
@@ -120,7 +120,11 @@
   ],
 });
 
-function signForgery(key: Buffer, to: string, counter: number): Readonly<Record<string, string>> {
+function signForgedCall(
+  key: Buffer,
+  to: string,
+  counter: number,
+): Readonly<Record<string, string>> {
   const call = {
     method: 'POST',
     to,
@@ -141,9 +145,9 @@
 }
 
 describe('three routers over sockets', () => {
-  it('bring a change of the document and the state of a target to all', async () => {
-    // A zone is cut off from the platform. One router had got the newest section before; the
-    // others learn it from it, and learn also which engine has died.
+  it('propagate a configuration change and the state of a target to all', async () => {
+    // A zone loses its connection to the platform after one router has received the newest
+    // sections. The others must get them from that router, and also learn which engine has failed.
     const routers = await startZone();
     const [first, second, third] = routers;
     const large = { name: 'team-a', revision: 7, text: 'x'.repeat(400_000) };
@@ -154,19 +158,19 @@
       'the change reaches all',
     );
     expect(third.configuration.listSectionsAfter(0).length).toEqual(2);
-    const heard: string[] = [];
-    first.membership.subscribeTargets(({ target, state }) => heard.push(`${target} ${state}`));
+    const received: string[] = [];
+    first.membership.subscribeTargets(({ target, state }) => received.push(`${target} ${state}`));
     [second, third].forEach(({ membership }) =>
       membership.reportTarget({ target: 'engine-1', state: 'dead', running: 4 }),
     );
-    await waitUntil(() => heard.includes('engine-1 dead'), 'the death reaches the first router');
+    await waitUntil(() => received.includes('engine-1 dead'), 'the death reaches the first router');
     expect(first.membership.getTargetHealth('engine-1')?.running).toEqual(4);
     await stopAll(routers);
   });
 
-  it('notice that one dies and that one leaves', async () => {
-    // An operator drains one router, and another one's VM loses power. The last one must stop
-    // counting on either, and tell one from the other.
+  it('distinguish a failed router from a draining one', async () => {
+    // An operator drains one router, and the VM of another one loses power. The remaining router
+    // must stop relying on both and report the correct state of each.
     const [first, second, third] = await startZone();
     await second.kernel.drain(1);
     await waitUntil(
@@ -179,27 +183,27 @@
     await stopAll([first, second]);
   });
 
-  it('refuse calls that are forged, repeated, or meant for another', async () => {
-    // Somebody on the network makes up a router, or records a genuine call and sends it again,
-    // there or to another router. Each would bring facts into the zone that nobody told.
+  it('refuse calls that are forged, replayed, or addressed to another router', async () => {
+    // An attacker on the network invents a router, or records a valid call and sends it again to
+    // the same or another router. Each would inject records that no router of the zone has sent.
     const routers = await startZone();
     const [first, second] = routers;
     const key = Buffer.from(KEY, 'hex');
     const wrongKey = Buffer.from('f'.repeat(32), 'hex');
     const to = first.address;
     expect(await sendCall(to, {})).toEqual(401);
-    expect(await sendCall(to, signForgery(wrongKey, to, 1))).toEqual(401);
-    expect(await sendCall(to, signForgery(key, second.address, 1))).toEqual(401);
+    expect(await sendCall(to, signForgedCall(wrongKey, to, 1))).toEqual(401);
+    expect(await sendCall(to, signForgedCall(key, second.address, 1))).toEqual(401);
     expect(findState(first.membership, 'stranger')).toEqual(undefined);
-    expect(await sendCall(to, signForgery(key, to, 1))).toEqual(200);
-    expect(await sendCall(to, signForgery(key, to, 1))).toEqual(409);
+    expect(await sendCall(to, signForgedCall(key, to, 1))).toEqual(200);
+    expect(await sendCall(to, signForgedCall(key, to, 1))).toEqual(409);
     const dump = await first.kernel.dumpProcess();
     expect((dump.plugins.membership?.served as { refused: number }).refused).toEqual(3);
     expect(JSON.stringify(dump)).not.toInclude(KEY);
     await stopAll(routers);
   });
 
-  it('do not take in a router with another key', async () => {
+  it('do not accept a router with another key', async () => {
     const first = await startRouter('router-1', []);
     const other = await startRouter('router-2', [first.address], 'f'.repeat(32));
     const endMs = performance.now() + WAIT_LIMIT_MS;
@@ -219,7 +223,7 @@
 });
 
 describe('settings', () => {
-  it('want a key and an address others can reach beyond the loopback address', () => {
+  it('require a key and a reachable address for listeners beyond the loopback address', () => {
     const wide = { listen: '0.0.0.0:8091', seeds: 'router-1:1' };
     const { error } = Settings.settingsSchema.safeParse(wide);
     const paths = error?.issues.map((issue) => issue.path.join('.')).sort();
--- a/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/virtualFleet.ts
@@ -1,4 +1,4 @@
-/** Routers in virtual time: their pure parts, with messages passed by function calls. */
+/** Simulates a fleet of routers in virtual time; messages are passed as function calls. */
 import { createHash } from 'node:crypto';
 
 import type {
@@ -10,17 +10,17 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 import * as ConfigurationPull from '../configurationPull';
-import * as Answers from '../exchangeHandlers';
+import * as Handlers from '../exchangeHandlers';
 import * as States from '../exchangeState';
 import type { ExchangeState } from '../exchangeState';
 import * as Tasks from '../exchangeTasks';
 import * as Detectors from '../failureDetector';
-import type { PeerAnswer, PeerCall, PeerTask } from '../messages';
+import type { PeerCallResult, PeerCall, PeerTask } from '../messages';
 import * as Partners from '../partners';
 import type { PeerRecord } from '../peerRecord';
-import * as PeerTables from '../peerRegistry';
+import * as PeerRegistries from '../peerRegistry';
 import * as Rounds from '../rounds';
-import * as TargetTables from '../targetHealthRegistry';
+import * as HealthRegistries from '../targetHealthRegistry';
 
 export function hashText(text: string): string {
   return createHash('sha1').update(text).digest('hex').slice(0, 16);
@@ -35,31 +35,36 @@
   readonly accept: (section: ConfigurationSection) => void;
 }
 
-/** A document that never goes back, as the platform plug-in keeps it. */
+/** A configuration that never returns to an older revision, like that of the platform plug-in. */
 export function createFakeConfiguration(): FakeConfiguration {
   const sections = new Map<string, ConfigurationSection>();
-  let news: ConfigurationAnnouncement = { readerFence: 0, readerBeat: 0, revision: 0 };
+  let announcement: ConfigurationAnnouncement = { readerFence: 0, readerBeat: 0, revision: 0 };
 
   function mergeSection(section: ConfigurationSection): void {
-    const known = sections.get(section.name);
-    if (known === undefined || known.revision < section.revision) {
+    const existing = sections.get(section.name);
+    if (existing === undefined || existing.revision < section.revision) {
       sections.set(section.name, section);
     }
   }
 
   return {
-    getAnnouncement: () => news,
+    getAnnouncement: () => announcement,
     listSectionsAfter: (revision) =>
       [...sections.values()].filter((section) => section.revision > revision),
     mergeSections(other, incoming) {
       incoming.forEach(mergeSection);
-      const revision = Math.max(news.revision, other.revision);
-      const newest = ConfigurationPull.compareNews(other, news) > 0 ? other : news;
-      news = { ...newest, revision };
+      const revision = Math.max(announcement.revision, other.revision);
+      const newest =
+        ConfigurationPull.compareAnnouncements(other, announcement) > 0 ? other : announcement;
+      announcement = { ...newest, revision };
     },
     accept(section) {
       mergeSection(section);
-      news = { readerFence: 1, readerBeat: news.readerBeat + 1, revision: section.revision };
+      announcement = {
+        readerFence: 1,
+        readerBeat: announcement.readerBeat + 1,
+        revision: section.revision,
+      };
     },
   };
 }
@@ -83,28 +88,28 @@
   readonly seeds?: readonly string[];
 }
 
-export interface ArrivedCall {
+export interface DeliveredCall {
   readonly to: Node;
   readonly request: PeerCall;
 }
 
-/** Kept for repetition; more would only hold memory. */
-const MAX_ARRIVED = 2_000;
+/** Maximum number of calls retained for duplicate delivery, to limit memory. */
+const MAX_DELIVERED = 2_000;
 
 export interface Fleet {
   readonly nodes: Node[];
   readonly addNode: (options: NodeOptions) => Node;
   readonly getNode: (name: string) => Node;
   readonly getNowMs: () => number;
-  /** Every router plays its rounds for so long. */
+  /** Runs the rounds of all routers for this time. */
   readonly runMs: (ms: number) => void;
-  /** Calls for which this returns false are lost; replaced by tests. */
+  /** Calls for which this returns false are lost; tests replace it. */
   isDelivered: (from: Node, to: Node) => boolean;
-  /** Calls for which this returns false take effect, but their answer is lost. */
+  /** Calls for which this returns false take effect, but their response is lost. */
   isAnswered: () => boolean;
-  /** Calls that arrived, for tests that let them arrive again. */
-  readonly arrived: ArrivedCall[];
-  readonly repeatCall: (arrived: ArrivedCall) => void;
+  /** Calls that were delivered, for tests that deliver them again. */
+  readonly delivered: DeliveredCall[];
+  readonly handleDuplicate: (call: DeliveredCall) => void;
 }
 
 export function createFleet(seed: number): Fleet {
@@ -112,11 +117,11 @@
   const nodes: Node[] = [];
   let nowMs = 1_000;
 
-  function call(from: Node, request: PeerCall): PeerAnswer {
+  function call(from: Node, request: PeerCall): PeerCallResult {
     const to = nodes.find((node) => node.address === request.address && !node.isDown);
     const isLost = to === undefined || to.isPaused || !fleet.isDelivered(from, to);
     if (isLost) return { kind: 'failed', message: 'no answer' };
-    if (fleet.arrived.length < MAX_ARRIVED) fleet.arrived.push({ to, request });
+    if (fleet.delivered.length < MAX_DELIVERED) fleet.delivered.push({ to, request });
     const output = handleCall(to, request);
     return fleet.isAnswered()
       ? { kind: 'answered', output }
@@ -125,9 +130,9 @@
 
   function handleCall(to: Node, request: PeerCall) {
     const { state } = to;
-    if (request.procedure === 'exchange') return Answers.handleExchange(state, request.input);
-    if (request.procedure === 'mergePeers') return Answers.handlePeers(state, request.input);
-    if (request.procedure === 'listSections') return Answers.handleSections(state, request.input);
+    if (request.procedure === 'exchange') return Handlers.handleExchange(state, request.input);
+    if (request.procedure === 'mergePeers') return Handlers.handlePeers(state, request.input);
+    if (request.procedure === 'listSections') return Handlers.handleSections(state, request.input);
     if (request.procedure === 'ping') return { name: to.name };
     const record = state.peers.findRecord(request.input.name);
     const ping: PeerCall = {
@@ -158,8 +163,8 @@
     nodes,
     isDelivered: () => true,
     isAnswered: () => true,
-    arrived: [],
-    repeatCall({ to, request }) {
+    delivered: [],
+    handleDuplicate({ to, request }) {
       if (!to.isDown && !to.isPaused) handleCall(to, request);
     },
     getNowMs: () => nowMs,
@@ -189,13 +194,13 @@
   const address = `${name}:1`;
   const configuration = createFakeConfiguration();
   const state = States.createExchangeState({
-    peers: PeerTables.createPeerRegistry({
+    peers: PeerRegistries.createPeerRegistry({
       process: { name, zone, region },
       address,
       incarnation,
       hashText,
     }),
-    targets: TargetTables.createTargetHealthRegistry(name, hashText),
+    targets: HealthRegistries.createTargetHealthRegistry(name, hashText),
     detector: Detectors.createFailureDetector(),
     configuration,
     getNowMs,
@@ -207,7 +212,7 @@
   return { name, address, zone, state, rounds, configuration, isPaused: false, isDown: false };
 }
 
-/** Zones of so many routers each, which all know one seed. */
+/** Creates zones with this number of routers each; all routers have the same seed address. */
 export function createZones(seed: number, zones: number, routers: number, regions = 1): Fleet {
   const fleet = createFleet(seed);
   for (let zone = 1; zone <= zones; zone += 1) {
@@ -223,7 +228,7 @@
   return Object.fromEntries(node.rounds.listPeers().map(({ name, state }) => [name, state]));
 }
 
-export function listLiving(node: Node): readonly string[] {
+export function listAlive(node: Node): readonly string[] {
   const peers = node.rounds.listPeers().filter(({ state }) => state === 'alive');
   return peers.map(({ name }) => name).sort();
 }
--- a/packages/sequoiarill-plugin-membership/src/configurationPull.ts
+++ b/packages/sequoiarill-plugin-membership/src/configurationPull.ts
@@ -1,4 +1,4 @@
-/** How routers bring each other the operators' document. */
+/** Transfers the configuration document between routers. */
 import type {
   ConfigurationExchange,
   ConfigurationAnnouncement,
@@ -8,21 +8,21 @@
 import type { PeerCall, PeerTask, SectionsOutput } from './messages';
 
 /**
- * Text of one answer, in characters. One section may be a megabyte, so an answer holds at least one
- * and may be larger by that one; a document far beyond a megabyte comes in several answers.
+ * Size of one response, in characters. A section may have 1 MB, so a response contains at least one
+ * section and may exceed the limit by it; a larger document takes several responses.
  */
 const CHUNK_CHARACTERS = 262_144;
-/** One exchange asks for at most so many; the next exchange goes on, maybe with another peer. */
-const MAX_CHUNKS = 64;
+/** Limit per exchange; the next exchange continues, possibly with another peer. */
+const MAX_CHUNKS_PER_EXCHANGE = 64;
 
-/** A peer that showed news in an exchange. */
-export interface NewsSource {
+/** A peer and the announcement that it sent in an exchange. */
+export interface AnnouncementSource {
   readonly address: string;
-  readonly news: ConfigurationAnnouncement;
-  readonly isZoneMate: boolean;
+  readonly announcement: ConfigurationAnnouncement;
+  readonly isSameZone: boolean;
 }
 
-export function compareNews(
+export function compareAnnouncements(
   left: ConfigurationAnnouncement,
   right: ConfigurationAnnouncement,
 ): number {
@@ -34,11 +34,11 @@
 }
 
 /**
- * The oldest sections first, so that the receiver knows everything up to the last one's revision.
+ * Lists the oldest sections first, so that the receiver is complete up to the last one's revision.
  * Sections of one revision were accepted together and are never split.
  */
-export function listChunk(exchange: ConfigurationExchange, after: number): SectionsOutput {
-  // News first: a section accepted in between is then only early, never missing.
+export function buildChunk(exchange: ConfigurationExchange, after: number): SectionsOutput {
+  // Read the announcement first: a section accepted in between is then early, but never missing.
   const configuration = exchange.getAnnouncement();
   const sections = [...exchange.listSectionsAfter(after)].sort(
     (left, right) => left.revision - right.revision,
@@ -55,41 +55,46 @@
 }
 
 /**
- * What a router takes over of a peer's news. Fences and beats are those of a zone's own reader:
- * those of another zone's reader, which may be higher, would make the own reader's confirmations
- * look old, and the zone would call the platform over and over. Across zones only sections count.
+ * Selects the part of a peer's announcement that this router adopts. Fencing number and heartbeat
+ * belong to the zone reader of one zone. Those of another zone's reader may be higher; they would
+ * make the confirmations of the local reader look old, and the zone would read from the platform
+ * repeatedly. Only the revision is adopted from other zones.
  */
-export function selectNews(
+export function selectAnnouncement(
   own: ConfigurationAnnouncement,
   peer: ConfigurationAnnouncement,
-  isZoneMate: boolean,
+  isSameZone: boolean,
 ): ConfigurationAnnouncement {
-  return isZoneMate ? peer : { ...own, revision: Math.max(own.revision, peer.revision) };
+  return isSameZone ? peer : { ...own, revision: Math.max(own.revision, peer.revision) };
 }
 
 /**
- * Takes over what a peer has. A part of the document is merged under the reader this router heard
- * of last: only the whole may claim the peer's freshness, or `config status` would show a router
- * as up to date that lacks sections.
+ * Pulls newer sections from a peer. An incomplete document is merged with the reader's fencing
+ * number and heartbeat that this router already has: only the complete document may adopt those of
+ * the peer, or `config status` would show a router as up to date that lacks sections.
  */
 export function* runConfigurationPull(
   exchange: ConfigurationExchange,
-  { address, news, isZoneMate }: NewsSource,
+  { address, announcement: peer, isSameZone }: AnnouncementSource,
 ): PeerTask<boolean> {
   const own = exchange.getAnnouncement();
-  if (news.revision <= own.revision) {
-    if (isZoneMate && compareNews(news, own) > 0) exchange.mergeSections(news, []);
+  if (peer.revision <= own.revision) {
+    if (isSameZone && compareAnnouncements(peer, own) > 0) exchange.mergeSections(peer, []);
     return true;
   }
   let after = own.revision;
-  for (let chunk = 0; chunk < MAX_CHUNKS; chunk += 1) {
+  for (let chunk = 0; chunk < MAX_CHUNKS_PER_EXCHANGE; chunk += 1) {
     const call: PeerCall = { procedure: 'listSections', address, input: { after } };
-    const answer = yield call;
-    if (answer.kind === 'failed') return false;
-    const output = answer.output as SectionsOutput;
+    const result = yield call;
+    if (result.kind === 'failed') return false;
+    const output = result.output as SectionsOutput;
     const last = output.sections.at(-1);
     if (output.isComplete || last === undefined) {
-      const merged = selectNews(exchange.getAnnouncement(), output.configuration, isZoneMate);
+      const merged = selectAnnouncement(
+        exchange.getAnnouncement(),
+        output.configuration,
+        isSameZone,
+      );
       exchange.mergeSections(merged, output.sections);
       return true;
     }
--- a/packages/sequoiarill-plugin-membership/src/core.ts
+++ b/packages/sequoiarill-plugin-membership/src/core.ts
@@ -1,4 +1,4 @@
-/** The pure parts, for measurements that need neither sockets nor a kernel. */
+/** The parts without I/O, for benchmarks that use neither sockets nor a kernel. */
 export * from './exchangeHandlers';
 export * from './exchangeState';
 export * from './exchangeTasks';
--- a/packages/sequoiarill-plugin-membership/src/delta.ts
+++ b/packages/sequoiarill-plugin-membership/src/delta.ts
@@ -1,4 +1,4 @@
-/** What one router sends of the facts that another lacks. Pure. */
+/** Selects the facts that one router sends to another that lacks them. */
 import type { TargetFact } from './targetFact';
 
 export interface ObserverDelta {
@@ -7,33 +7,35 @@
 }
 
 export interface Delta {
-  /** By roster order: up to which version each observer's facts are complete after merging. */
+  /**
+   * In roster order: the version up to which the facts of each observer are complete after merging.
+   */
   readonly versions: readonly number[];
   readonly observers: readonly ObserverDelta[];
 }
 
 export interface DeltaCandidate extends ObserverDelta {
-  /** Up to which the sender has everything of this observer. */
+  /** Version up to which the sender has all facts of this observer. */
   readonly version: number;
 }
 
 /**
- * Cuts a delta that is too large. What is left out of an observer's facts are its newest, and its
- * version stays below them, so that the next exchange goes on there and nothing is skipped.
+ * Limits a delta to a number of facts. The newest facts of an observer are omitted first, and its
+ * version stays below them, so that the next exchange continues there and skips none.
  */
 export function selectDelta(candidates: readonly DeltaCandidate[], maxFacts: number): Delta {
-  let left = maxFacts;
-  const chosen = candidates.map((candidate) => {
-    const facts = candidate.facts.slice(0, left);
-    left -= facts.length;
+  let remaining = maxFacts;
+  const selected = candidates.map((candidate) => {
+    const facts = candidate.facts.slice(0, remaining);
+    remaining -= facts.length;
     const next = candidate.facts[facts.length];
     const version =
       next === undefined ? candidate.version : Math.min(candidate.version, next.version - 1);
     return { observer: candidate.observer, version, facts };
   });
   return {
-    versions: chosen.map(({ version }) => version),
-    observers: chosen
+    versions: selected.map(({ version }) => version),
+    observers: selected
       .filter(({ facts }) => facts.length > 0)
       .map(({ observer, facts }) => ({ observer, facts })),
   };
--- a/packages/sequoiarill-plugin-membership/src/dump.ts
+++ b/packages/sequoiarill-plugin-membership/src/dump.ts
@@ -1,4 +1,4 @@
-/** The plug-in's part of the state dump. */
+/** Builds the section of this plug-in in the state dump. */
 import type { StateDump } from '@sequoiarill/types';
 
 import type { ExchangeState } from './exchangeState';
@@ -25,7 +25,7 @@
     address: self.address,
     incarnation: self.incarnation,
     configuration: state.configuration.getAnnouncement(),
-    zonesAway: rounds.listZonesAway(),
+    zonesAway: rounds.listUnreachableZones(),
     peers: peers.map((peer) => ({
       name: peer.name,
       zone: peer.zone,
--- a/packages/sequoiarill-plugin-membership/src/exchangeHandlers.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeHandlers.ts
@@ -1,4 +1,4 @@
-/** What a router answers its peers. Pure. */
+/** Handles the calls of other routers. Performs no I/O. */
 import * as ConfigurationPull from './configurationPull';
 import type { ExchangeState } from './exchangeState';
 import * as FactCodec from './factCodec';
@@ -10,13 +10,13 @@
   SectionsOutput,
 } from './messages';
 
-/** Facts of one answer; a router that was away gets the rest with its next exchanges. */
+/** Limit per response; a router that lacks more facts receives the rest in later exchanges. */
 const MAX_DELTA_FACTS = 768;
 
 export function handleExchange(state: ExchangeState, input: ExchangeInput): ExchangeOutput {
   const { peers, configuration } = state;
   state.recordContact(input.from, input.configuration.revision);
-  mergeConfigurationNews(state, input);
+  mergeAnnouncement(state, input);
   const isSame = input.peersHash === peers.getHash();
   return {
     from: peers.getSelf().name,
@@ -27,21 +27,21 @@
   };
 }
 
-function mergeConfigurationNews(state: ExchangeState, input: ExchangeInput): void {
+function mergeAnnouncement(state: ExchangeState, input: ExchangeInput): void {
   const { configuration, peers } = state;
   const own = configuration.getAnnouncement();
   if (input.configuration.revision > own.revision) {
     const sender = peers.findRecord(input.from);
     if (sender !== undefined) state.onNewerConfiguration(sender.address);
   } else if (
-    state.isZoneMate(input.from) &&
-    ConfigurationPull.compareNews(input.configuration, own) > 0
+    state.isSameZone(input.from) &&
+    ConfigurationPull.compareAnnouncements(input.configuration, own) > 0
   ) {
     configuration.mergeSections(input.configuration, []);
   }
 }
 
-/** Facts only make sense between routers of one zone that number its observers alike. */
+/** Facts identify observers by roster index, so both routers must have the same roster. */
 function handleTargets(
   state: ExchangeState,
   input: ExchangeInput,
@@ -51,7 +51,7 @@
   const { versions, news } = input.targets;
   const nowMs = state.getNowMs();
   const roster = peers.getRoster();
-  state.onTargetsChanged(targets.mergeNews(FactCodec.decodeObservers(news, roster, nowMs)));
+  state.onTargetsChanged(targets.mergeUpdates(FactCodec.decodeObservers(news, roster, nowMs)));
   state.recordHeartbeats(versions);
   const delta = targets.listDelta(versions, nowMs, MAX_DELTA_FACTS);
   const observers = FactCodec.encodeObservers(delta.observers, roster, nowMs);
@@ -60,9 +60,9 @@
 
 export function handlePeers(state: ExchangeState, input: PeersMessage): PeersMessage {
   state.mergeRecords(input.records);
-  return state.buildPeers(input.zones);
+  return state.buildPeersMessage(input.zones);
 }
 
 export function handleSections(state: ExchangeState, input: SectionsInput): SectionsOutput {
-  return ConfigurationPull.listChunk(state.configuration, input.after);
+  return ConfigurationPull.buildChunk(state.configuration, input.after);
 }
--- a/packages/sequoiarill-plugin-membership/src/exchangeState.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeState.ts
@@ -1,4 +1,4 @@
-/** What a router knows, as exchanges with peers read and change it. Pure: time is an argument. */
+/** State of a router that exchanges with peers read and update. No I/O: the time is an argument. */
 import type { ConfigurationExchange } from '@sequoiarill/types';
 
 import * as FactCodec from './factCodec';
@@ -8,8 +8,8 @@
 import type { MergeOutcome, PeerRegistry } from './peerRegistry';
 import type { TargetHealthRegistry } from './targetHealthRegistry';
 
-/** Changes of state that a request carries unasked; a rack's worth of targets. */
-const MAX_NEWS_FACTS = 64;
+/** Limit on the state changes pushed with a request; covers the targets of one rack. */
+const MAX_UPDATE_FACTS = 64;
 
 export interface ExchangeOptions {
   readonly peers: PeerRegistry;
@@ -19,22 +19,22 @@
   readonly getNowMs: () => number;
   readonly onTargetsChanged: (targets: readonly string[]) => void;
   readonly onPeerRecord: (record: PeerRecord, outcome: MergeOutcome) => void;
-  /** A peer showed a newer revision; it is worth asking soon. */
+  /** Called if a peer announces a newer revision, which can be pulled from it. */
   readonly onNewerConfiguration: (address: string) => void;
 }
 
 export interface ExchangeState extends ExchangeOptions {
-  readonly buildInput: () => ExchangeInput;
-  readonly buildPeers: (zones: readonly string[]) => PeersMessage;
+  readonly buildExchangeInput: () => ExchangeInput;
+  readonly buildPeersMessage: (zones: readonly string[]) => PeersMessage;
   readonly mergeRecords: (records: readonly PeerRecord[]) => void;
-  /** After a change of the own record or of who is dead. */
+  /** Must be called after the own record changed or a router was marked dead. */
   readonly updateRoster: () => void;
   readonly recordHeartbeats: (versions: readonly number[]) => void;
-  /** The router was in touch and showed this revision. */
+  /** Records a contact with a router and the revision that it announced. */
   readonly recordContact: (name: string, revision: number) => void;
-  readonly isZoneMate: (name: string) => boolean;
-  /** Revision the router showed when it was last in touch; 0 before. */
-  readonly getRevision: (name: string) => number;
+  readonly isSameZone: (name: string) => boolean;
+  /** Revision that the router announced at its last contact; 0 if there was none. */
+  readonly getPeerRevision: (name: string) => number;
 }
 
 export function createExchangeState(options: ExchangeOptions): ExchangeState {
@@ -52,8 +52,8 @@
     const nowMs = getNowMs();
     for (const record of records) {
       const outcome = peers.mergeRecord(record, nowMs);
-      // Others held this process for dead: what it saw meanwhile is not worth their belief.
-      if (outcome === 'refuted') targets.removeOwn();
+      // Other routers considered this process dead, so its earlier observations may be outdated.
+      if (outcome === 'refuted') targets.removeOwnFacts();
       if (outcome !== 'known') options.onPeerRecord(record, outcome);
     }
     updateRoster();
@@ -65,7 +65,7 @@
     peers.getRoster().forEach(({ name }, index) => {
       const version = versions[index] ?? 0;
       if (name !== self.name) detector.recordVersion(name, version, nowMs);
-      // Another process told facts under this one's name and incarnation.
+      // Another process published facts under this one's name and incarnation.
       else if (version > targets.getOwnVersion()) peers.setIncarnationAbove(self.incarnation);
     });
     if (peers.getSelf() !== self) updateRoster();
@@ -74,9 +74,9 @@
   updateRoster();
   return {
     ...options,
-    buildInput() {
+    buildExchangeInput() {
       const nowMs = getNowMs();
-      const news = targets.listNews(nowMs, MAX_NEWS_FACTS);
+      const updates = targets.listUpdates(nowMs, MAX_UPDATE_FACTS);
       return {
         from: peers.getSelf().name,
         peersHash: peers.getHash(),
@@ -84,23 +84,23 @@
         targets: {
           rosterHash: peers.getRosterHash(),
           versions: [...targets.getVersions()],
-          news: FactCodec.encodeObservers(news, peers.getRoster(), nowMs),
+          news: FactCodec.encodeObservers(updates, peers.getRoster(), nowMs),
         },
       };
     },
-    buildPeers(zones) {
+    buildPeersMessage(zones) {
       const records = zones.flatMap((zone) => peers.listZoneRecords(zone));
       return { from: peers.getSelf().name, zones: [...zones], records };
     },
-    isZoneMate: (name) => peers.findRecord(name)?.zone === peers.getSelf().zone,
+    isSameZone: (name) => peers.findRecord(name)?.zone === peers.getSelf().zone,
     mergeRecords,
     updateRoster,
     recordHeartbeats,
     recordContact(name, revision) {
       revisions.set(name, revision);
-      detector.recordAnswer(name, getNowMs());
+      detector.recordContact(name, getNowMs());
     },
-    getRevision: (name) =>
+    getPeerRevision: (name) =>
       name === peers.getSelf().name
         ? configuration.getAnnouncement().revision
         : (revisions.get(name) ?? 0),
--- a/packages/sequoiarill-plugin-membership/src/exchangeTasks.ts
+++ b/packages/sequoiarill-plugin-membership/src/exchangeTasks.ts
@@ -1,4 +1,4 @@
-/** Tasks in which a router asks its peers, written straight down. */
+/** Tasks that call peers, written as generators that yield their calls. */
 import * as ConfigurationPull from './configurationPull';
 import type { ExchangeState } from './exchangeState';
 import * as FactCodec from './factCodec';
@@ -14,7 +14,7 @@
 
 export interface ExchangeDone {
   readonly kind: 'done';
-  /** Name the answering router gave. */
+  /** Name reported by the router that responded. */
   readonly name: string;
 }
 
@@ -25,32 +25,32 @@
 
 export type ExchangeOutcome = ExchangeDone | ExchangeFailed;
 
-/** Makes two routers equal, as far as one round of messages allows: routers, facts, document. */
+/** Synchronises router records, facts and configuration with a peer in one round of messages. */
 export function* runExchange(state: ExchangeState, address: string): PeerTask<ExchangeOutcome> {
   const { configuration } = state;
   const output = yield* callExchange(state, address);
   if (typeof output === 'string') return { kind: 'failed', message: output };
   if (output.zoneHashes !== undefined) {
     const isMerged = yield* runPeersMerge(state, address, output.zoneHashes);
-    // Once the rosters agree, facts can be told apart by their place in it.
-    const isZoneMate = state.isZoneMate(output.from);
-    if (isMerged && isZoneMate && output.targets === undefined) yield* callExchange(state, address);
+    // Once the rosters agree, their indexes identify observers, so facts can be exchanged.
+    const isSameZone = state.isSameZone(output.from);
+    if (isMerged && isSameZone && output.targets === undefined) yield* callExchange(state, address);
   }
   yield* ConfigurationPull.runConfigurationPull(configuration, {
     address,
-    news: output.configuration,
-    isZoneMate: state.isZoneMate(output.from),
+    announcement: output.configuration,
+    isSameZone: state.isSameZone(output.from),
   });
   return { kind: 'done', name: output.from };
 }
 
 function* callExchange(state: ExchangeState, address: string): PeerTask<ExchangeOutput | string> {
-  const input = state.buildInput();
+  const input = state.buildExchangeInput();
   const call: PeerCall = { procedure: 'exchange', address, input };
-  const answer = yield call;
-  if (answer.kind === 'failed') return answer.message;
-  const output = answer.output as ExchangeOutput;
-  // While the call was out this router may have learned of others; places would then be wrong.
+  const result = yield call;
+  if (result.kind === 'failed') return result.message;
+  const output = result.output as ExchangeOutput;
+  // The roster may have changed during the call; its indexes would then be wrong.
   const isComparable = input.targets?.rosterHash === state.peers.getRosterHash();
   state.recordContact(output.from, output.configuration.revision);
   if (isComparable) mergeTargets(state, output);
@@ -73,20 +73,24 @@
   address: string,
   zoneHashes: Hashes,
 ): PeerTask<boolean> {
-  const zones = listDifferences(state.peers.listZoneHashes(), zoneHashes);
-  const call: PeerCall = { procedure: 'mergePeers', address, input: state.buildPeers(zones) };
-  const answer = yield call;
-  if (answer.kind === 'failed') return false;
-  state.mergeRecords((answer.output as PeersMessage).records);
+  const zones = listDifferentZones(state.peers.listZoneHashes(), zoneHashes);
+  const call: PeerCall = {
+    procedure: 'mergePeers',
+    address,
+    input: state.buildPeersMessage(zones),
+  };
+  const result = yield call;
+  if (result.kind === 'failed') return false;
+  state.mergeRecords((result.output as PeersMessage).records);
   return true;
 }
 
-function listDifferences(left: Hashes, right: Hashes): readonly string[] {
+function listDifferentZones(left: Hashes, right: Hashes): readonly string[] {
   const zones = new Set([...Object.keys(left), ...Object.keys(right)]);
   return [...zones].filter((zone) => left[zone] !== right[zone]);
 }
 
-/** Asks a silent router itself, then by way of others, which may still reach it. */
+/** Probes a suspected router directly, then through helpers that may still reach it. */
 export function* runProbe(
   state: ExchangeState,
   suspect: PeerRecord,
@@ -95,23 +99,23 @@
   const { name, address } = suspect;
   const from = state.peers.getSelf().name;
   const ping: PeerCall = { procedure: 'ping', address, input: { from } };
-  const answer = yield ping;
-  // Another router may have the address of one that was replaced.
-  if (answer.kind === 'answered' && (answer.output as PingOutput).name === name) {
-    state.detector.recordAnswer(name, state.getNowMs());
+  const result = yield ping;
+  // Another router may have taken over the address of a replaced one.
+  if (result.kind === 'answered' && (result.output as PingOutput).name === name) {
+    state.detector.recordContact(name, state.getNowMs());
     return;
   }
-  let denials = 0;
+  let unreachableReports = 0;
   for (const helper of helpers) {
     const probe: PeerCall = { procedure: 'probe', address: helper.address, input: { name } };
-    const opinion = yield probe;
-    if (opinion.kind === 'failed') continue;
-    if ((opinion.output as ProbeOutput).isReachable) {
-      state.detector.recordAnswer(name, state.getNowMs());
+    const probeResult = yield probe;
+    if (probeResult.kind === 'failed') continue;
+    if ((probeResult.output as ProbeOutput).isReachable) {
+      state.detector.recordContact(name, state.getNowMs());
       return;
     }
-    denials += 1;
+    unreachableReports += 1;
   }
-  // A router that reaches nobody is itself cut off and must not declare others dead.
-  if (denials > 0 || helpers.length === 0) state.detector.recordFailedProbe(name);
+  // A router that reaches no helper may itself be partitioned and must not declare others dead.
+  if (unreachableReports > 0 || helpers.length === 0) state.detector.recordFailedProbe(name);
 }
--- a/packages/sequoiarill-plugin-membership/src/factCodec.ts
+++ b/packages/sequoiarill-plugin-membership/src/factCodec.ts
@@ -1,4 +1,4 @@
-/** Facts between their typed form and the short one that routers send. Pure. */
+/** Encodes facts to the compact form of the messages between routers and decodes them. */
 import type { TargetState } from '@sequoiarill/types';
 
 import type { EncodedFact, ObserverFacts } from './messages';
@@ -8,13 +8,13 @@
 
 const STATES: readonly TargetState[] = ['healthy', 'slow', 'dead', 'leaving'];
 const AGE_UNIT_MS = 100;
-const NO_COUNT = -1;
+const UNKNOWN_COUNT = -1;
 
-/** The age goes along, so that a fact that was passed on does not look new. */
+/** Encodes the age, so that a relayed fact does not appear to be new. */
 function encodeFact(fact: TargetFact, nowMs: number): EncodedFact {
   const age = Math.max(0, Math.round((nowMs - fact.seenMs) / AGE_UNIT_MS));
   const state = STATES.indexOf(fact.state);
-  const { target, version, running = NO_COUNT, waiting = NO_COUNT } = fact;
+  const { target, version, running = UNKNOWN_COUNT, waiting = UNKNOWN_COUNT } = fact;
   return [target, version, state, age, running, waiting];
 }
 
@@ -26,8 +26,8 @@
     observer,
     state: STATES[state] ?? 'healthy',
     seenMs: nowMs - age * AGE_UNIT_MS,
-    ...(running === NO_COUNT ? {} : { running }),
-    ...(waiting === NO_COUNT ? {} : { waiting }),
+    ...(running === UNKNOWN_COUNT ? {} : { running }),
+    ...(waiting === UNKNOWN_COUNT ? {} : { waiting }),
   };
 }
 
@@ -36,11 +36,11 @@
   roster: readonly RosterEntry[],
   nowMs: number,
 ): ObserverFacts[] {
-  const places = new Map(roster.map((entry, index) => [entry.name, index]));
+  const indexes = new Map(roster.map((entry, index) => [entry.name, index]));
   return observers.flatMap(({ observer, facts }) => {
-    const place = places.get(observer);
-    if (place === undefined) return [];
-    return [{ observer: place, facts: facts.map((fact) => [...encodeFact(fact, nowMs)]) }];
+    const index = indexes.get(observer);
+    if (index === undefined) return [];
+    return [{ observer: index, facts: facts.map((fact) => [...encodeFact(fact, nowMs)]) }];
   });
 }
 
@@ -49,8 +49,8 @@
   roster: readonly RosterEntry[],
   nowMs: number,
 ): readonly ObserverDelta[] {
-  return encoded.flatMap(({ observer: place, facts }) => {
-    const observer = roster[place]?.name;
+  return encoded.flatMap(({ observer: index, facts }) => {
+    const observer = roster[index]?.name;
     if (observer === undefined) return [];
     return [{ observer, facts: facts.map((fact) => decodeFact(fact, observer, nowMs)) }];
   });
--- a/packages/sequoiarill-plugin-membership/src/index.ts
+++ b/packages/sequoiarill-plugin-membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Routers of a region know each other and the health of their targets. */
+/** Exchanges the state of routers and the health of targets between the routers of a fleet. */
 import * as Kernel from '@sequoiarill/kernel';
 
 import * as MembershipPlugin from './plugin';
--- a/packages/sequoiarill-plugin-membership/src/messages.ts
+++ b/packages/sequoiarill-plugin-membership/src/messages.ts
@@ -1,17 +1,17 @@
-/** Messages between routers: schemas that both sides check, and their types. */
+/** Messages between routers: schemas that both sides validate, and their types. */
 import type { ConfigurationAnnouncement, ConfigurationSection } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
 import type { PeerRecord } from './peerRecord';
 
-/** Bounds of what one message may hold, well above the target size of 570 routers. */
-const MAX_NAME = 128;
+/** Limits on the size of one message, well above the target size of 570 routers. */
+const MAX_NAME_LENGTH = 128;
 const MAX_ZONES = 256;
 const MAX_RECORDS = 4_096;
-const MAX_ROSTER = 1_024;
+const MAX_ROSTER_ENTRIES = 1_024;
 const MAX_FACTS = 4_096;
 
-const nameSchema = Zod.string().min(1).max(MAX_NAME);
+const nameSchema = Zod.string().min(1).max(MAX_NAME_LENGTH);
 const counterSchema = Zod.number().int().min(0);
 
 const recordSchema: Zod.ZodType<PeerRecord> = Zod.strictObject({
@@ -23,15 +23,16 @@
   state: Zod.enum(['alive', 'leaving', 'dead']),
 });
 
-const newsSchema: Zod.ZodType<ConfigurationAnnouncement> = Zod.strictObject({
+const announcementSchema: Zod.ZodType<ConfigurationAnnouncement> = Zod.strictObject({
   readerFence: counterSchema,
   readerBeat: counterSchema,
   revision: counterSchema,
 });
 
 /**
- * Target, version, code of the state, age in tenths of a second, running and waiting. An array,
- * since these are nine tenths of what routers send; only the module `factCodec` sees this form.
+ * Target, version, code of the state, age in tenths of a second, running and waiting. A tuple,
+ * because facts make up nine tenths of the traffic between routers; only `factCodec` uses this
+ * form.
  */
 export const encodedFactSchema = Zod.tuple([
   nameSchema,
@@ -44,24 +45,24 @@
 export type EncodedFact = Readonly<Zod.infer<typeof encodedFactSchema>>;
 
 const observerFactsSchema = Zod.strictObject({
-  /** Place in the roster both sides share. */
-  observer: Zod.number().int().min(0).max(MAX_ROSTER),
+  /** Index in the roster, which is the same on both sides. */
+  observer: Zod.number().int().min(0).max(MAX_ROSTER_ENTRIES),
   facts: Zod.array(encodedFactSchema).max(MAX_FACTS),
 });
 export type ObserverFacts = Readonly<Zod.infer<typeof observerFactsSchema>>;
 
-const versionsSchema = Zod.array(counterSchema).max(MAX_ROSTER);
+const versionsSchema = Zod.array(counterSchema).max(MAX_ROSTER_ENTRIES);
 
 export const exchangeInputSchema = Zod.strictObject({
   from: nameSchema,
-  /** Digest of every router the sender knows. */
+  /** Digest of the records of all routers that the sender knows. */
   peersHash: nameSchema,
-  configuration: newsSchema,
-  /** Only within a zone. */
+  configuration: announcementSchema,
+  /** Used only between routers of one zone. */
   targets: Zod.strictObject({
     rosterHash: nameSchema,
     versions: versionsSchema,
-    news: Zod.array(observerFactsSchema).max(MAX_ROSTER),
+    news: Zod.array(observerFactsSchema).max(MAX_ROSTER_ENTRIES),
   }).optional(),
 });
 export type ExchangeInput = Readonly<Zod.infer<typeof exchangeInputSchema>>;
@@ -69,18 +70,18 @@
 export const exchangeOutputSchema = Zod.strictObject({
   from: nameSchema,
   peersHash: nameSchema,
-  configuration: newsSchema,
-  /** Digests by zone, when the two know different routers. */
+  configuration: announcementSchema,
+  /** Digests by zone, if the two routers have different records. */
   zoneHashes: Zod.record(nameSchema, nameSchema).optional(),
-  /** Only within a zone, and only when both sides have the same roster. */
+  /** Present only within a zone and if both sides have the same roster. */
   targets: Zod.strictObject({
     versions: versionsSchema,
-    observers: Zod.array(observerFactsSchema).max(MAX_ROSTER),
+    observers: Zod.array(observerFactsSchema).max(MAX_ROSTER_ENTRIES),
   }).optional(),
 });
 export type ExchangeOutput = Readonly<Zod.infer<typeof exchangeOutputSchema>>;
 
-/** Every record of the zones on which two routers differ; both sides merge what they get. */
+/** All records of the zones in which two routers differ; both sides merge what they receive. */
 export const peersSchema = Zod.strictObject({
   from: nameSchema,
   zones: Zod.array(nameSchema).max(MAX_ZONES),
@@ -89,7 +90,7 @@
 export type PeersMessage = Readonly<Zod.infer<typeof peersSchema>>;
 
 export const sectionsInputSchema = Zod.strictObject({
-  /** Sections above this revision, the oldest first. */
+  /** Requests the sections above this revision, the oldest first. */
   after: counterSchema,
 });
 export type SectionsInput = Readonly<Zod.infer<typeof sectionsInputSchema>>;
@@ -101,9 +102,9 @@
 });
 
 export const sectionsOutputSchema = Zod.strictObject({
-  configuration: newsSchema,
+  configuration: announcementSchema,
   sections: Zod.array(sectionSchema),
-  /** False when more is to be asked for, from the last section's revision on. */
+  /** False if more sections follow; the next request starts after the last section's revision. */
   isComplete: Zod.boolean(),
 });
 export type SectionsOutput = Readonly<Zod.infer<typeof sectionsOutputSchema>>;
@@ -114,14 +115,14 @@
 export const pingOutputSchema = Zod.strictObject({ name: nameSchema });
 export type PingOutput = Readonly<Zod.infer<typeof pingOutputSchema>>;
 
-/** By name, never by address: nobody can have a router call an address of his choice. */
+/** Names a router instead of an address, so that a sender cannot make a router call any address. */
 export const probeInputSchema = Zod.strictObject({ name: nameSchema });
 export type ProbeInput = Readonly<Zod.infer<typeof probeInputSchema>>;
 
 export const probeOutputSchema = Zod.strictObject({ isReachable: Zod.boolean() });
 export type ProbeOutput = Readonly<Zod.infer<typeof probeOutputSchema>>;
 
-/** What is asked of a peer and what it answers, by procedure. */
+/** Input and output of each procedure. */
 export interface PeerProcedures {
   readonly exchange: { readonly input: ExchangeInput; readonly output: ExchangeOutput };
   readonly mergePeers: { readonly input: PeersMessage; readonly output: PeersMessage };
@@ -132,7 +133,7 @@
 
 export type ProcedureName = keyof PeerProcedures;
 
-/** One call that a task wants made; whoever runs the task makes it. */
+/** A call that a task yields; the runner of the task makes it. */
 export type PeerCall = {
   readonly [Name in ProcedureName]: {
     readonly procedure: Name;
@@ -141,17 +142,17 @@
   };
 }[ProcedureName];
 
-export interface PeerAnswered {
+export interface PeerCallResponse {
   readonly kind: 'answered';
   readonly output: PeerProcedures[ProcedureName]['output'];
 }
 
-export interface PeerFailed {
+export interface PeerCallFailure {
   readonly kind: 'failed';
   readonly message: string;
 }
 
-export type PeerAnswer = PeerAnswered | PeerFailed;
+export type PeerCallResult = PeerCallResponse | PeerCallFailure;
 
-/** A task that calls peers, written straight down; sockets and virtual time run it alike. */
-export type PeerTask<Outcome> = Generator<PeerCall, Outcome, PeerAnswer>;
+/** A task that calls peers, as a generator: the same code runs on sockets and in simulated time. */
+export type PeerTask<Outcome> = Generator<PeerCall, Outcome, PeerCallResult>;
--- a/packages/sequoiarill-plugin-membership/src/peerClient.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerClient.ts
@@ -1,34 +1,36 @@
-/** Calls other routers over tRPC, signed, and checks that the answer comes from one of them. */
+/** Makes signed tRPC calls to other routers and verifies the signatures of their responses. */
 import * as TrpcClient from '@trpc/client';
 import * as Undici from 'undici';
 
 import * as Messages from './messages';
-import type { PeerAnswer, PeerCall, PeerProcedures, ProcedureName } from './messages';
+import type { PeerCallResult, PeerCall, PeerProcedures, ProcedureName } from './messages';
 import type { PeerRouter } from './peerRouter';
 import * as Signatures from './signatures';
 
-/** Between zones a millisecond or two, between regions some hundred; a pause of a second fits. */
+/** Calls take 1–2 ms between zones and about 100 ms between regions; allows for a pause of 1 s. */
 const CALL_TIMEOUT_MS = 2_000;
-/** Sections may be a megabyte, and the link may be the one that just healed. */
+/** A section may have 1 MB, and the network may have just recovered from a partition. */
 const SECTIONS_TIMEOUT_MS = 10_000;
-/** Clients kept; a client is small, and the least used are made anew. */
-const MAX_CLIENTS = 1_024;
+/** Maximum number of cached clients; they are small, and the oldest one is evicted first. */
+const MAX_CACHED_CLIENTS = 1_024;
 const SECTIONS_PATH = '/listSections';
 const HTTP_CONFLICT = 409;
-const HTTP_ERRORS = 400;
-/** Above the time between two calls to one peer of a large zone, so that connections are kept. */
+const MIN_HTTP_ERROR_STATUS = 400;
+/**
+ * Exceeds the time between two calls to one peer in a large zone, so that connections are reused.
+ */
 const KEEP_ALIVE_MS = 55_000;
 
-/** An answer that is not from this fleet. */
-export class PeerAnswerError extends Error {
-  override readonly name = 'PeerAnswerError';
+/** A response without a valid signature of this fleet. */
+export class PeerResponseError extends Error {
+  override readonly name = 'PeerResponseError';
 }
 
-interface SendOptions {
+interface RequestBody {
   readonly body: string;
 }
 
-interface SignedResponse {
+interface FetchResponse {
   readonly ok: boolean;
   readonly status: number;
   readonly json: () => Promise<unknown>;
@@ -37,20 +39,20 @@
 export interface PeerClientOptions {
   readonly key: Buffer;
   readonly getSelf: () => { readonly name: string; readonly incarnation: number };
-  /** A peer has heard of this router with this higher incarnation. */
-  readonly onOldIncarnation: (highest: number) => void;
+  /** Called if a peer knows this router with a higher incarnation. */
+  readonly onStaleIncarnation: (highestIncarnation: number) => void;
 }
 
 export interface PeerTraffic {
   readonly calls: number;
   readonly failures: number;
-  /** Of bodies; headers add about 500 bytes a call. */
+  /** Size of the bodies; headers add about 500 bytes per call. */
   readonly bytesSent: number;
   readonly bytesReceived: number;
 }
 
 export interface PeerClient {
-  readonly callPeer: (call: PeerCall) => Promise<PeerAnswer>;
+  readonly callPeer: (call: PeerCall) => Promise<PeerCallResult>;
   readonly getTraffic: () => PeerTraffic;
   readonly close: () => Promise<void>;
 }
@@ -58,7 +60,7 @@
 type Client = TrpcClient.TRPCClient<PeerRouter>;
 
 export function createPeerClient(options: PeerClientOptions): PeerClient {
-  const { key, getSelf, onOldIncarnation } = options;
+  const { key, getSelf, onStaleIncarnation } = options;
   const clients = new Map<string, Client>();
   const dispatcher = new Undici.Agent({
     keepAliveTimeout: KEEP_ALIVE_MS,
@@ -69,8 +71,8 @@
   let counter = 0;
   let traffic: PeerTraffic = { calls: 0, failures: 0, bytesSent: 0, bytesReceived: 0 };
 
-  async function sendSigned(target: string, request: SendOptions): Promise<SignedResponse> {
-    const url = new URL(target);
+  async function sendSigned(requestUrl: string, request: RequestBody): Promise<FetchResponse> {
+    const url = new URL(requestUrl);
     const { body } = request;
     const timeoutMs = url.pathname.endsWith(SECTIONS_PATH) ? SECTIONS_TIMEOUT_MS : CALL_TIMEOUT_MS;
     const { name: from, incarnation } = getSelf();
@@ -99,24 +101,30 @@
       bytesReceived: traffic.bytesReceived + text.length,
     };
     const { statusCode: status, headers } = response;
-    checkSignature({ callSignature, status, body: text }, headers[Signatures.HEADERS.signature]);
+    verifySignature({ callSignature, status, body: text }, headers[Signatures.HEADERS.signature]);
     const highest = headers[Signatures.HEADERS.incarnation];
-    if (status === HTTP_CONFLICT && highest !== undefined) onOldIncarnation(Number(highest));
-    return { ok: status < HTTP_ERRORS, status, json: async () => JSON.parse(text) as unknown };
+    if (status === HTTP_CONFLICT && highest !== undefined) onStaleIncarnation(Number(highest));
+    return {
+      ok: status < MIN_HTTP_ERROR_STATUS,
+      status,
+      json: async () => JSON.parse(text) as unknown,
+    };
   }
 
-  function checkSignature(answer: Signatures.SignedAnswer, given: unknown): void {
-    const expected = Signatures.signAnswer(key, answer);
-    if (typeof given === 'string' && Signatures.isSameSignature(given, expected)) return;
+  function verifySignature(response: Signatures.SignedResponse, received: unknown): void {
+    const expected = Signatures.signResponse(key, response);
+    if (typeof received === 'string' && Signatures.isSameSignature(received, expected)) return;
     const fix = 'compare sharedKey and seeds';
-    throw new PeerAnswerError(`answer ${answer.status} without the fleet's signature; ${fix}`);
+    throw new PeerResponseError(
+      `response ${response.status} has no valid signature of this fleet; ${fix}`,
+    );
   }
 
   function getClient(address: string): Client {
-    const known = clients.get(address);
-    if (known !== undefined) return known;
+    const existing = clients.get(address);
+    if (existing !== undefined) return existing;
     const [oldest] = clients.keys();
-    if (clients.size >= MAX_CLIENTS && oldest !== undefined) clients.delete(oldest);
+    if (clients.size >= MAX_CACHED_CLIENTS && oldest !== undefined) clients.delete(oldest);
     const link = TrpcClient.httpLink<PeerRouter>({
       url: `http://${address}/peers`,
       fetch: (input, init) => sendSigned(String(input), { body: String(init?.body ?? '') }),
@@ -142,7 +150,7 @@
   };
 }
 
-/** Checked also on this side: a peer may run another version. */
+/** Validates the output as well, because a peer may run another version. */
 async function callProcedure(
   client: Client,
   call: PeerCall,
--- a/packages/sequoiarill-plugin-membership/src/peerRecord.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerRecord.ts
@@ -1,22 +1,23 @@
-/** What routers tell each other about a router, and which of two such records is the newer. */
+/** The record that routers exchange about each router, and the order of two such records. */
 import type { ProcessSettings } from '@sequoiarill/types';
 
 export type RecordState = 'alive' | 'leaving' | 'dead';
 
 export interface PeerRecord extends ProcessSettings {
-  /** `host:port` of its peer listener. */
+  /** `host:port` of the router's listener for other routers. */
   readonly address: string;
-  /** Rises with each start of the process and with each refutation of its death. */
+  /** Increases with each start of the process and each time it refutes its reported death. */
   readonly incarnation: number;
   readonly state: RecordState;
 }
 
-/** Within one incarnation a state only moves this way; a higher incarnation starts over. */
+/** Within an incarnation the state only advances in this order; a higher incarnation resets it. */
 const STATE_RANKS: Readonly<Record<RecordState, number>> = { alive: 0, leaving: 1, dead: 2 };
 
 /**
- * Positive when `left` is newer. No time takes part: a paused process or one whose clock jumped
- * would otherwise bring back old records. The address only breaks ties, so that all agree.
+ * Returns a positive number if `left` is newer. Timestamps are not compared, because a process that
+ * was paused or whose clock jumped could otherwise reintroduce old records. The address only breaks
+ * ties, so that all routers choose the same record.
  */
 export function compareRecords(left: PeerRecord, right: PeerRecord): number {
   if (left.incarnation !== right.incarnation) return left.incarnation - right.incarnation;
--- a/packages/sequoiarill-plugin-membership/src/peerRegistry.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerRegistry.ts
@@ -1,6 +1,7 @@
 /**
- * Routers of the whole fleet as one process knows them. Pure: the time is an argument. Merging is
- * commutative and idempotent, so lost, late and repeated messages do no harm.
+ * Records of all routers of the fleet that this process knows. Performs no I/O: the time is an
+ * argument. Merging is commutative and idempotent, so lost, delayed and duplicate messages are
+ * harmless.
  */
 import type { ProcessSettings } from '@sequoiarill/types';
 
@@ -8,20 +9,23 @@
 import type { PeerRecord } from './peerRecord';
 
 /**
- * A dead router's record stays so long for others to learn of the death. Far above the seconds in
- * which records spread, also between regions that lose each other for minutes.
+ * How long the record of a dead router is retained so that other routers learn of its death.
+ * Records spread within seconds; the margin covers regions that are partitioned for minutes.
  */
-export const FORGET_DEAD_MS = 15 * 60_000;
+export const DEAD_RECORD_RETENTION_MS = 15 * 60_000;
 /**
- * After that only the incarnation stays, so that a router which was cut off meanwhile cannot bring
- * the record back as alive. Above a day's restarts (2,573 at the target size).
+ * Maximum number of removed routers whose incarnation is still remembered, so that a router that
+ * was partitioned meanwhile cannot reintroduce the record as alive. More than the restarts of one
+ * day (2,573 at the target size).
  */
-const MAX_FLOORS = 8_192;
+const MAX_INCARNATION_FLOORS = 8_192;
 
 export type HashText = (text: string) => string;
 
 /**
- * `refuted`: others held this process for dead or older, so it took a higher incarnation.
+ * `known`: the merge changed no record.
+ * `refuted`: other routers considered this process dead or had a newer record of it, so it chose a
+ * higher incarnation.
  * `conflict`: another process runs under this one's name.
  */
 export type MergeOutcome = 'updated' | 'known' | 'refuted' | 'conflict';
@@ -39,13 +43,15 @@
   readonly mergeRecord: (record: PeerRecord, nowMs: number) => MergeOutcome;
   readonly markDead: (name: string, nowMs: number) => void;
   readonly markLeaving: () => void;
-  /** This process takes a higher incarnation than any it was told of. */
+  /** Sets the incarnation of this process to one above the given value. */
   readonly setIncarnationAbove: (incarnation: number) => void;
-  readonly removeForgotten: (nowMs: number) => void;
-  /** Equal on two routers exactly when they know the same routers that live or leave. */
+  readonly removeExpired: (nowMs: number) => void;
+  /**
+   * Equal on two routers if and only if they have the same records of alive and leaving routers.
+   */
   readonly getHash: () => string;
   readonly listZoneHashes: () => Readonly<Record<string, string>>;
-  /** Routers of the own zone that are not dead, sorted by name, this process among them. */
+  /** Routers of the local zone that are not dead, including this one, sorted by name. */
   readonly getRoster: () => readonly RosterEntry[];
   readonly getRosterHash: () => string;
 }
@@ -53,7 +59,7 @@
 export interface PeerRegistryOptions {
   readonly process: ProcessSettings;
   readonly address: string;
-  /** Wall clock at start; corrected upwards by what peers know. */
+  /** Wall-clock time at the start; raised if peers know a higher incarnation. */
   readonly incarnation: number;
   readonly hashText: HashText;
 }
@@ -69,7 +75,7 @@
   const { process, address, hashText } = options;
   const records = new Map<string, PeerRecord>();
   const deadSinceMs = new Map<string, number>();
-  /** Highest incarnation known to be dead, of routers that are forgotten. */
+  /** Highest incarnation known to be dead, for each router whose record was removed. */
   const floors = new Map<string, number>();
   let self: PeerRecord = { ...process, address, incarnation: options.incarnation, state: 'alive' };
   let digests: Digests | undefined;
@@ -100,34 +106,35 @@
   function mergeRecord(record: PeerRecord, nowMs: number): MergeOutcome {
     if (record.name === self.name) return mergeOwnRecord(record);
     const floor = floors.get(record.name);
-    // A late record of a forgotten incarnation: show it as dead again, so that its sender learns.
-    const isLate = floor !== undefined && record.incarnation <= floor;
-    const merged: PeerRecord = isLate ? { ...record, incarnation: floor, state: 'dead' } : record;
-    const known = records.get(record.name);
-    if (known === undefined && merged.state === 'dead' && !isLate) {
-      setFloor(merged);
+    // A delayed record of a removed incarnation: store it as dead again, so that its sender learns
+    // it.
+    const isStale = floor !== undefined && record.incarnation <= floor;
+    const merged: PeerRecord = isStale ? { ...record, incarnation: floor, state: 'dead' } : record;
+    const existing = records.get(record.name);
+    if (existing === undefined && merged.state === 'dead' && !isStale) {
+      setIncarnationFloor(merged);
       return 'known';
     }
-    if (known !== undefined && Records.compareRecords(merged, known) <= 0) return 'known';
+    if (existing !== undefined && Records.compareRecords(merged, existing) <= 0) return 'known';
     setRecord(merged);
     if (merged.state === 'dead') deadSinceMs.set(merged.name, nowMs);
     else deadSinceMs.delete(merged.name);
     return 'updated';
   }
 
-  function setFloor(record: PeerRecord): void {
+  function setIncarnationFloor(record: PeerRecord): void {
     const floor = Math.max(floors.get(record.name) ?? 0, record.incarnation);
     floors.delete(record.name);
     floors.set(record.name, floor);
     const [oldest] = floors.keys();
-    if (floors.size > MAX_FLOORS && oldest !== undefined) floors.delete(oldest);
+    if (floors.size > MAX_INCARNATION_FLOORS && oldest !== undefined) floors.delete(oldest);
   }
 
-  function removeForgotten(nowMs: number): void {
+  function removeExpired(nowMs: number): void {
     for (const [name, sinceMs] of deadSinceMs) {
-      if (nowMs - sinceMs < FORGET_DEAD_MS) continue;
+      if (nowMs - sinceMs < DEAD_RECORD_RETENTION_MS) continue;
       const record = records.get(name);
-      if (record !== undefined) setFloor(record);
+      if (record !== undefined) setIncarnationFloor(record);
       records.delete(name);
       deadSinceMs.delete(name);
     }
@@ -149,7 +156,7 @@
       setRecord(self);
     },
     setIncarnationAbove,
-    removeForgotten,
+    removeExpired,
     getHash: () => getDigests().hash,
     listZoneHashes: () => getDigests().zoneHashes,
     getRoster: () => getDigests().roster,
@@ -157,20 +164,20 @@
   };
 }
 
-/** The dead stay out: each router forgets them at another moment, and digests must not differ. */
+/** Excludes dead routers: each router removes them at a different time, and digests must match. */
 function buildDigests(
   records: readonly PeerRecord[],
-  ownZone: string,
+  localZone: string,
   hashText: HashText,
 ): Digests {
-  const living = records.filter((record) => record.state !== 'dead');
-  const sorted = living.sort(Records.compareNames);
+  const members = records.filter((record) => record.state !== 'dead');
+  const sorted = members.sort(Records.compareNames);
   const zones = [...new Set(sorted.map((record) => record.zone))].sort();
   const zoneHashes = Object.fromEntries(
     zones.map((zone) => [zone, hashText(formatZone(sorted, zone))]),
   );
   const roster = sorted
-    .filter((record) => record.zone === ownZone)
+    .filter((record) => record.zone === localZone)
     .map(({ name, incarnation }) => ({ name, incarnation }));
   return {
     hash: hashText(JSON.stringify(zoneHashes)),
--- a/packages/sequoiarill-plugin-membership/src/peerServer.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerServer.ts
@@ -1,4 +1,4 @@
-/** The listener for peers: checks who calls, then lets tRPC answer, and signs the answer. */
+/** HTTP server for other routers: verifies calls, passes them to tRPC and signs the responses. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -11,11 +11,13 @@
 import * as Settings from './settings';
 import * as Signatures from './signatures';
 
-/** Longer than two routers of a large zone go without a call, so that connections stay open. */
+/**
+ * Exceeds the time between two calls of a pair of routers in a large zone, to reuse connections.
+ */
 const KEEP_ALIVE_MS = 60_000;
 const REQUEST_TIMEOUT_MS = 10_000;
 const MAX_HEADERS = 32;
-/** Records of the whole fleet at the target size are 70 KB. */
+/** The records of the whole fleet take 70 KB at the target size. */
 const MAX_BODY_BYTES = 1_048_576;
 
 export interface PeerServerOptions {
@@ -27,15 +29,15 @@
 export interface ServedTraffic {
   readonly calls: number;
   readonly refused: number;
-  /** On the sockets, headers included. */
+  /** Counted on the sockets, including headers. */
   readonly bytesSent: number;
   readonly bytesReceived: number;
 }
 
 export interface PeerServer {
-  /** The bound address; rejects with a clear error when it can't be bound. */
+  /** Resolves to the bound address; rejects with a `PeerListenError` if binding fails. */
   readonly open: () => Promise<string>;
-  /** Until then calls are refused. */
+  /** Calls are refused until this is called. */
   readonly setRouter: (router: PeerRouter, advertise: string) => void;
   readonly close: () => Promise<void>;
   readonly getTraffic: () => ServedTraffic;
@@ -45,31 +47,31 @@
   override readonly name = 'PeerListenError';
 }
 
-interface Served {
+interface ServedRouter {
   readonly router: PeerRouter;
   readonly advertise: string;
 }
 
-interface Answer {
+interface CallResponse {
   readonly status: number;
   readonly body: string;
   readonly incarnation?: number;
 }
 
-type CallCheck =
-  | { readonly kind: 'genuine'; readonly signature: string; readonly call: Signatures.SignedCall }
+type CallVerification =
+  | { readonly kind: 'verified'; readonly signature: string; readonly call: Signatures.SignedCall }
   | { readonly kind: 'refused'; readonly reason: string };
 
 export function createPeerServer(options: PeerServerOptions): PeerServer {
   const { listen, key, onRefused } = options;
-  const guard = ReplayGuards.createReplayGuard();
+  const replayGuard = ReplayGuards.createReplayGuard();
   const sockets = new Set<Socket>();
-  const closed = { bytesSent: 0, bytesReceived: 0 };
+  const closedTraffic = { bytesSent: 0, bytesReceived: 0 };
   let calls = 0;
   let refused = 0;
-  let served: Served | undefined;
+  let served: ServedRouter | undefined;
 
-  function refuse(request: IncomingMessage, response: ServerResponse, reason: string): void {
+  function refuseRequest(request: IncomingMessage, response: ServerResponse, reason: string): void {
     refused += 1;
     onRefused(reason, request.socket.remoteAddress);
     response.writeHead(401, { 'content-type': 'application/json', connection: 'close' });
@@ -79,39 +81,46 @@
   async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request);
     if (body === undefined) {
-      refuse(request, response, 'the body is too long or broken off');
+      refuseRequest(request, response, 'the body is too large or incomplete');
       return;
     }
-    const check = checkCall(key, request, body, served?.advertise);
-    if (check.kind === 'refused' || served === undefined) {
-      refuse(request, response, check.kind === 'refused' ? check.reason : 'starting');
+    const verification = verifyCall(key, request, body, served?.advertise);
+    if (verification.kind === 'refused' || served === undefined) {
+      refuseRequest(
+        request,
+        response,
+        verification.kind === 'refused' ? verification.reason : 'starting',
+      );
       return;
     }
     calls += 1;
-    const answer = await handleCall(served.router, check.call);
-    sendSigned(response, check.signature, answer);
+    const result = await handleCall(served.router, verification.call);
+    sendSigned(response, verification.signature, result);
   }
 
-  async function handleCall(router: PeerRouter, call: Signatures.SignedCall): Promise<Answer> {
-    const outcome = guard.admitCall(call.from, call.incarnation, call.counter);
-    if (outcome.kind === 'repeated') return { status: 409, body: '{}' };
-    if (outcome.kind === 'oldIncarnation') {
-      return { status: 409, body: '{}', incarnation: outcome.highest };
+  async function handleCall(
+    router: PeerRouter,
+    call: Signatures.SignedCall,
+  ): Promise<CallResponse> {
+    const replayOutcome = replayGuard.admitCall(call.from, call.incarnation, call.counter);
+    if (replayOutcome.kind === 'repeated') return { status: 409, body: '{}' };
+    if (replayOutcome.kind === 'oldIncarnation') {
+      return { status: 409, body: '{}', incarnation: replayOutcome.highestIncarnation };
     }
-    const answer = await TrpcFetch.fetchRequestHandler({
+    const response = await TrpcFetch.fetchRequestHandler({
       endpoint: '/peers',
       router,
       req: createRequest(call),
     });
-    return { status: answer.status, body: await answer.text() };
+    return { status: response.status, body: await response.text() };
   }
 
-  function sendSigned(response: ServerResponse, callSignature: string, answer: Answer): void {
-    const { status, body, incarnation } = answer;
+  function sendSigned(response: ServerResponse, callSignature: string, result: CallResponse): void {
+    const { status, body, incarnation } = result;
     response.writeHead(status, {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(body),
-      [Signatures.HEADERS.signature]: Signatures.signAnswer(key, { callSignature, status, body }),
+      [Signatures.HEADERS.signature]: Signatures.signResponse(key, { callSignature, status, body }),
       ...(incarnation === undefined ? {} : { [Signatures.HEADERS.incarnation]: incarnation }),
     });
     response.end(body);
@@ -130,8 +139,8 @@
     sockets.add(socket);
     socket.once('close', () => {
       sockets.delete(socket);
-      closed.bytesSent += socket.bytesWritten;
-      closed.bytesReceived += socket.bytesRead;
+      closedTraffic.bytesSent += socket.bytesWritten;
+      closedTraffic.bytesReceived += socket.bytesRead;
     });
   });
 
@@ -160,15 +169,21 @@
       });
     },
     getTraffic() {
-      const open = [...sockets];
-      const sent = open.reduce((sum, socket) => sum + socket.bytesWritten, closed.bytesSent);
-      const received = open.reduce((sum, socket) => sum + socket.bytesRead, closed.bytesReceived);
+      const openSockets = [...sockets];
+      const sent = openSockets.reduce(
+        (sum, socket) => sum + socket.bytesWritten,
+        closedTraffic.bytesSent,
+      );
+      const received = openSockets.reduce(
+        (sum, socket) => sum + socket.bytesRead,
+        closedTraffic.bytesReceived,
+      );
       return { calls, refused, bytesSent: sent, bytesReceived: received };
     },
   };
 }
 
-/** undici's class is the one that Node.js brings, under a name that is not called experimental. */
+/** Uses undici's `Request`: the global one of Node.js is the same class but marked experimental. */
 function createRequest(call: Signatures.SignedCall): Undici.Request {
   return new Undici.Request(`http://${call.to}${call.path}`, {
     method: call.method,
@@ -192,13 +207,13 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Nothing of a call is looked at by anybody before its signature holds. */
-function checkCall(
+/** Verifies the signature before any other part of a call is used. */
+function verifyCall(
   key: Buffer,
   request: IncomingMessage,
   body: string,
   advertise: string | undefined,
-): CallCheck {
+): CallVerification {
   const call: Signatures.SignedCall = {
     method: request.method ?? '',
     to: request.headers.host ?? '',
@@ -210,13 +225,13 @@
   };
   const signature = getHeader(request, Signatures.HEADERS.signature);
   if (!Signatures.isSameSignature(signature, Signatures.signCall(key, call))) {
-    return { kind: 'refused', reason: 'the signature does not hold; compare sharedKey' };
+    return { kind: 'refused', reason: 'the signature is invalid; compare sharedKey' };
   }
   if (call.to !== advertise) {
-    const reason = `called as ${call.to}, but is ${advertise}; compare seeds and advertise`;
+    const reason = `the call is addressed to ${call.to}, but this router is ${advertise}; compare seeds and advertise`;
     return { kind: 'refused', reason };
   }
-  return { kind: 'genuine', signature, call };
+  return { kind: 'verified', signature, call };
 }
 
 function getHeader(request: IncomingMessage, name: string): string {
--- a/packages/sequoiarill-plugin-membership/src/peerTasks.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerTasks.ts
@@ -1,22 +1,24 @@
-/** Runs the rounds against the clock: one task for each peer exchange and each probe. */
+/** Runs the gossip rounds periodically, with one task for each exchange and each probe. */
 import type { PluginContext } from '@sequoiarill/types';
 
 import * as Events from './events';
 import type { ExchangeState } from './exchangeState';
 import * as Tasks from './exchangeTasks';
-import type { PeerAnswer, PeerCall, PeerTask } from './messages';
+import type { PeerCallResult, PeerCall, PeerTask } from './messages';
 import * as Metrics from './metrics';
 import * as Partners from './partners';
 import type { Probe, Rounds } from './rounds';
 
-/** Rounds differ by up to a tenth, so that routers that start together do not stay in step. */
-const JITTER = 0.2;
+/**
+ * Varies the round interval by up to ±10 %, so that routers started together do not stay in step.
+ */
+const JITTER_RANGE = 0.2;
 
 export interface PeerTasksOptions {
   readonly context: PluginContext;
   readonly state: ExchangeState;
   readonly rounds: Rounds;
-  readonly callPeer: (call: PeerCall) => Promise<PeerAnswer>;
+  readonly callPeer: (call: PeerCall) => Promise<PeerCallResult>;
 }
 
 export interface ExchangeCounts {
@@ -25,19 +27,19 @@
 }
 
 export interface PeerTasks {
-  /** Until the signal is aborted. */
+  /** Resolves once the signal is aborted. */
   readonly runRounds: (signal: AbortSignal) => Promise<void>;
-  /** Unless one with this address is under way. */
+  /** Does nothing if an exchange with this address is in progress. */
   readonly startExchange: (address: string) => void;
   readonly getCounts: () => ExchangeCounts;
-  /** Until the tasks under way have ended. */
+  /** Resolves when all active tasks have ended. */
   readonly waitIdle: () => Promise<void>;
 }
 
-/** Lets a task's calls be made and gives it the answers. */
+/** Runs a task: makes each call that it yields and resumes it with the result. */
 export async function runTask<Outcome>(
   task: PeerTask<Outcome>,
-  callPeer: (call: PeerCall) => Promise<PeerAnswer>,
+  callPeer: (call: PeerCall) => Promise<PeerCallResult>,
 ): Promise<Outcome> {
   let step = task.next();
   while (step.done !== true) step = task.next(await callPeer(step.value));
@@ -46,17 +48,19 @@
 
 export function createPeerTasks(options: PeerTasksOptions): PeerTasks {
   const { context, state, rounds, callPeer } = options;
-  const underWay = new Map<string, Promise<void>>();
+  const activeTasks = new Map<string, Promise<void>>();
   let counts: ExchangeCounts = { done: 0, failed: 0 };
-  let zonesAway: readonly string[] = [];
+  let unreachableZones: readonly string[] = [];
 
-  /** At most one task for each peer and purpose, however slowly it answers. */
-  function startTask(id: string, runOnce: () => Promise<void>): void {
-    if (underWay.has(id)) return;
-    const task = runOnce().catch(failProcess);
-    underWay.set(
+  /**
+   * Runs at most one task for each peer and purpose, so that slow peers do not accumulate tasks.
+   */
+  function startTask(id: string, run: () => Promise<void>): void {
+    if (activeTasks.has(id)) return;
+    const task = run().catch(failProcess);
+    activeTasks.set(
       id,
-      task.finally(() => underWay.delete(id)),
+      task.finally(() => activeTasks.delete(id)),
     );
   }
 
@@ -69,17 +73,17 @@
       failed: counts.failed + (isDone ? 0 : 1),
     };
     context.metrics.addCount(isDone ? Metrics.EXCHANGES : Metrics.EXCHANGES_FAILED);
-    logZones();
+    logZoneChanges();
   }
 
-  function logZones(): void {
-    const before = zonesAway;
-    zonesAway = rounds.listZonesAway();
-    zonesAway
-      .filter((zone) => !before.includes(zone))
+  function logZoneChanges(): void {
+    const previous = unreachableZones;
+    unreachableZones = rounds.listUnreachableZones();
+    unreachableZones
+      .filter((zone) => !previous.includes(zone))
       .forEach((zone) => context.logEvent(Events.ZONE_AWAY, { zone }));
-    before
-      .filter((zone) => !zonesAway.includes(zone))
+    previous
+      .filter((zone) => !unreachableZones.includes(zone))
       .forEach((zone) => context.logEvent(Events.ZONE_BACK, { zone }));
   }
 
@@ -112,19 +116,21 @@
     async runRounds(signal) {
       while (!signal.aborted) {
         startRound();
-        const jitter = 1 + JITTER * (context.nextRandom() - 1 / 2);
+        const jitter = 1 + JITTER_RANGE * (context.nextRandom() - 1 / 2);
         await context.clock.waitMs(Partners.ROUND_MS * jitter, signal);
       }
     },
     startExchange,
     getCounts: () => counts,
     async waitIdle() {
-      await Promise.all(underWay.values());
+      await Promise.all(activeTasks.values());
     },
   };
 }
 
-/** Failed calls are outcomes; what is thrown here is a broken invariant, which stops the process. */
+/**
+ * Failed calls are returned as results; an exception is a violated invariant and stops the process.
+ */
 function failProcess(error: unknown): void {
   setImmediate(() => {
     throw error;
--- a/packages/sequoiarill-plugin-membership/src/plugin.ts
+++ b/packages/sequoiarill-plugin-membership/src/plugin.ts
@@ -1,4 +1,6 @@
-/** Plug-in `membership`: routers know each other, the zone's targets and the newest document. */
+/**
+ * Plug-in `membership`: exchanges router records, target health and configuration between routers.
+ */
 import type {
   Membership,
   Plugin,
@@ -74,12 +76,15 @@
         server,
         address,
         seeds: settings.seeds,
-        onTargets: sendHealth,
+        onTargetsChanged: sendHealth,
       });
       context.logEvent(Events.LISTENING, { listen: bound, advertise: address });
       if (settings.sharedKey === undefined) context.logEvent(Events.NO_SHARED_KEY);
     },
-    /** Told at once, so that the others count on it no more; it goes on exchanging until it stops. */
+    /**
+     * Announces the drain so that other routers stop relying on this one; exchanges continue until
+     * stop.
+     */
     async drain() {
       router?.state.peers.markLeaving();
       router?.state.updateRoster();
--- a/packages/sequoiarill-plugin-membership/src/publishing.ts
+++ b/packages/sequoiarill-plugin-membership/src/publishing.ts
@@ -1,43 +1,46 @@
 /**
- * Which of a router's own observations the others are told. Pure.
+ * Decides which of its own observations a router publishes to the other routers of the zone.
  *
- * Load pattern: 32 routers that each see the load of 372 targets every second. Told as they come,
- * 11,904 facts a second would reach each router, 20 times the byte budget. So a change of state is
- * told at once by everyone who sees it, and load only by one router a target: routers are ranked
- * for each target by a hash, and each waits longer before it tells, the lower its rank, so that the
- * first one's fact arrives before the others' time comes. No election, and any router may die.
+ * In a zone of 32 routers each one observes the load of 372 targets every second. If all were
+ * published, each router would receive 11,904 facts a second, 20 times the byte budget. A change of
+ * state is therefore published at once by each router that observes it, but load by only one router
+ * per target: a hash ranks the routers for each target, and the delay before publishing grows with
+ * the rank number, so that the fact of the first router arrives before the delays of the others
+ * end. This needs no leader election and tolerates the failure of any router.
  */
 import type { TargetReport } from '@sequoiarill/types';
 
 import type { TargetFact } from './targetFact';
 
-/** Load older than this is told again by the first in rank. */
+/** The router of rank 0 publishes load again when the last fact is older than this. */
 export const LOAD_REFRESH_MS = 3_000;
-/** More than the time a fact takes to reach the zone, so that the next in rank stays silent. */
+/**
+ * Exceeds the time in which a fact reaches the zone, so that the next rank does not publish too.
+ */
 export const RANK_DELAY_MS = 1_500;
 const MAX_RANK = 3;
 
-export interface PublishQuestion {
+export interface PublishInput {
   readonly report: TargetReport;
-  /** What this router told last of the target. */
-  readonly told: TargetFact | undefined;
-  /** Every fact at hand of the target. */
-  readonly known: readonly TargetFact[];
-  /** 0 for the router that is first to tell of this target. */
+  /** The fact that this router published last about the target. */
+  readonly published: TargetFact | undefined;
+  /** All stored facts about the target. */
+  readonly knownFacts: readonly TargetFact[];
+  /** 0 for the router that publishes the load of this target first. */
   readonly rank: number;
   readonly nowMs: number;
 }
 
 export type PublishDecision = 'stateChange' | 'load' | 'withhold';
 
-export function decidePublishing(question: PublishQuestion): PublishDecision {
-  const { report, told, known, rank, nowMs } = question;
-  const toldState = told?.state ?? 'healthy';
-  if (report.state !== toldState) return 'stateChange';
-  // A state other than healthy is told by all who see it, since the majority is counted.
-  let newestMs = told?.seenMs ?? -Infinity;
+export function decidePublishing(input: PublishInput): PublishDecision {
+  const { report, published, knownFacts, rank, nowMs } = input;
+  const publishedState = published?.state ?? 'healthy';
+  if (report.state !== publishedState) return 'stateChange';
+  // All observers publish a state other than healthy, because it is decided by majority.
+  let newestMs = published?.seenMs ?? -Infinity;
   if (report.state === 'healthy') {
-    for (const fact of known) newestMs = Math.max(newestMs, fact.seenMs);
+    for (const fact of knownFacts) newestMs = Math.max(newestMs, fact.seenMs);
   }
   const delayMs = report.state === 'healthy' ? Math.min(rank, MAX_RANK) * RANK_DELAY_MS : 0;
   return nowMs - newestMs >= LOAD_REFRESH_MS + delayMs ? 'load' : 'withhold';
--- a/packages/sequoiarill-plugin-membership/src/replayGuard.ts
+++ b/packages/sequoiarill-plugin-membership/src/replayGuard.ts
@@ -1,24 +1,24 @@
 /**
- * Tells a call apart from its repetition. Numbers of one sender only rise, so a recorded call that
- * a stranger sends again is known by its number, without clocks that would have to agree.
+ * Detects replayed calls. The counters of a sender only increase, so a call that an attacker
+ * recorded and sends again is detected by its counter, without synchronised clocks.
  */
 
-/** Calls of one sender that may overtake each other. */
-const WINDOW = 128;
-/** Senders remembered; above the target size with a day's restarts under new names. */
+/** Size of the window within which the calls of one sender may arrive out of order. */
+const REPLAY_WINDOW_CALLS = 128;
+/** Maximum number of senders; above the target size plus one day's restarts under new names. */
 const MAX_SENDERS = 8_192;
 
 interface Sender {
   readonly incarnation: number;
-  readonly highest: number;
-  readonly recent: ReadonlySet<number>;
+  readonly highestCounter: number;
+  readonly recentCounters: ReadonlySet<number>;
 }
 
 export type ReplayOutcome =
   | { readonly kind: 'new' }
   | { readonly kind: 'repeated' }
-  /** The sender has been heard with a higher incarnation. */
-  | { readonly kind: 'oldIncarnation'; readonly highest: number };
+  /** The sender has already called with a higher incarnation. */
+  | { readonly kind: 'oldIncarnation'; readonly highestIncarnation: number };
 
 export interface ReplayGuard {
   readonly admitCall: (from: string, incarnation: number, counter: number) => ReplayOutcome;
@@ -36,19 +36,31 @@
 
   return {
     admitCall(from, incarnation, counter) {
-      const known = senders.get(from);
-      if (known === undefined || incarnation > known.incarnation) {
-        setSender(from, { incarnation, highest: counter, recent: new Set([counter]) });
+      const sender = senders.get(from);
+      if (sender === undefined || incarnation > sender.incarnation) {
+        setSender(from, {
+          incarnation,
+          highestCounter: counter,
+          recentCounters: new Set([counter]),
+        });
         return { kind: 'new' };
       }
-      if (incarnation < known.incarnation) {
-        return { kind: 'oldIncarnation', highest: known.incarnation };
+      if (incarnation < sender.incarnation) {
+        return { kind: 'oldIncarnation', highestIncarnation: sender.incarnation };
       }
-      const isRepeated = known.recent.has(counter) || counter <= known.highest - WINDOW;
-      if (isRepeated) return { kind: 'repeated' };
-      const highest = Math.max(known.highest, counter);
-      const recent = [...known.recent].filter((number) => number > highest - WINDOW);
-      setSender(from, { incarnation, highest, recent: new Set([...recent, counter]) });
+      const isReplayed =
+        sender.recentCounters.has(counter) ||
+        counter <= sender.highestCounter - REPLAY_WINDOW_CALLS;
+      if (isReplayed) return { kind: 'repeated' };
+      const highestCounter = Math.max(sender.highestCounter, counter);
+      const recentCounters = [...sender.recentCounters].filter(
+        (number) => number > highestCounter - REPLAY_WINDOW_CALLS,
+      );
+      setSender(from, {
+        incarnation,
+        highestCounter,
+        recentCounters: new Set([...recentCounters, counter]),
+      });
       return { kind: 'new' };
     },
   };
--- a/packages/sequoiarill-plugin-membership/src/rounds.ts
+++ b/packages/sequoiarill-plugin-membership/src/rounds.ts
@@ -1,20 +1,21 @@
-/** What a router does in each round, apart from the calls themselves. Pure. */
+/** Plans each gossip round: partners, probes and deaths. Makes no calls itself. */
 import type { Peer } from '@sequoiarill/types';
 
 import type { ExchangeState } from './exchangeState';
 import type { ExchangeOutcome } from './exchangeTasks';
 import * as Partners from './partners';
 import type { PeerRecord } from './peerRecord';
-import * as ZoneReaches from './zoneReachability';
+import * as Reachability from './zoneReachability';
 
 /**
- * A gap between rounds above this is a pause of this process: stopped, swapped out, or a blocked
- * event loop. Below the shortest silence that makes a suspect, far above a late timer.
+ * A longer gap between rounds is treated as a pause of this process: it was stopped, swapped out,
+ * or its event loop was blocked. Below the shortest silence after which a router is suspected and
+ * far above the usual delay of a timer.
  */
-export const PAUSE_MS = 2_000;
+export const PAUSE_THRESHOLD_MS = 2_000;
 
-/** What nobody uses any more is looked for this seldom; nothing depends on when it goes. */
-const CLEAN_ROUNDS = 20;
+/** Interval of the removal of expired facts and records; no behaviour depends on its time. */
+const CLEANUP_INTERVAL_ROUNDS = 20;
 
 export interface Probe {
   readonly suspect: PeerRecord;
@@ -27,7 +28,7 @@
   readonly probes: readonly Probe[];
   /** Routers declared dead in this round. */
   readonly dead: readonly PeerRecord[];
-  /** How long this process was paused before the round; 0 when it was not. */
+  /** How long this process was paused before the round; 0 if it was not. */
   readonly pausedMs: number;
 }
 
@@ -41,33 +42,33 @@
   readonly startRound: () => Round;
   readonly recordOutcome: (address: string, outcome: ExchangeOutcome) => void;
   readonly listPeers: () => readonly Peer[];
-  readonly listZonesAway: () => readonly string[];
+  readonly listUnreachableZones: () => readonly string[];
 }
 
 export function createRounds(options: RoundsOptions): Rounds {
   const { state, seeds, nextRandom } = options;
   const { peers, targets, detector } = state;
-  const zones = ZoneReaches.createZoneReach();
+  const zones = Reachability.createZoneReachability();
   let round = 0;
   let lastRoundMs = state.getNowMs();
 
-  function isZoneMate(record: PeerRecord): boolean {
+  function isLocalZonePeer(record: PeerRecord): boolean {
     const self = peers.getSelf();
     return record.zone === self.zone && record.name !== self.name && record.state !== 'dead';
   }
 
-  /** Before anything is decided: a pause would make everybody look silent. */
+  /** Must run before liveness is decided: after a pause all routers appear silent. */
   function checkPause(nowMs: number): number {
     const gapMs = nowMs - lastRoundMs;
     lastRoundMs = nowMs;
-    if (gapMs < PAUSE_MS) return 0;
-    detector.restartSilence(nowMs);
+    if (gapMs < PAUSE_THRESHOLD_MS) return 0;
+    detector.recordPause(nowMs);
     return gapMs;
   }
 
-  function decideDeaths(nowMs: number): readonly PeerRecord[] {
-    const mates = peers.listRecords().filter(isZoneMate);
-    const dead = mates.filter(({ name }) => detector.decideLiveness(name, nowMs) === 'dead');
+  function markDeadPeers(nowMs: number): readonly PeerRecord[] {
+    const zonePeers = peers.listRecords().filter(isLocalZonePeer);
+    const dead = zonePeers.filter(({ name }) => detector.decideLiveness(name, nowMs) === 'dead');
     dead.forEach(({ name }) => peers.markDead(name, nowMs));
     if (dead.length > 0) state.updateRoster();
     return dead;
@@ -76,7 +77,7 @@
   function listProbes(nowMs: number): readonly Probe[] {
     const records = peers.listRecords();
     const suspects = records
-      .filter(isZoneMate)
+      .filter(isLocalZonePeer)
       .filter(({ name }) => detector.decideLiveness(name, nowMs) === 'suspect');
     return suspects.map((suspect) => ({
       suspect,
@@ -87,7 +88,7 @@
   function getState(record: PeerRecord, nowMs: number): Peer['state'] {
     const self = peers.getSelf();
     if (record.state !== 'alive' || record.name === self.name) return record.state;
-    if (record.zone !== self.zone) return zones.isAway(record.zone) ? 'suspect' : 'alive';
+    if (record.zone !== self.zone) return zones.isUnreachable(record.zone) ? 'suspect' : 'alive';
     return detector.decideLiveness(record.name, nowMs) === 'alive' ? 'alive' : 'suspect';
   }
 
@@ -96,18 +97,18 @@
       const nowMs = state.getNowMs();
       const pausedMs = checkPause(nowMs);
       round += 1;
-      targets.recordBeat();
-      if (round % CLEAN_ROUNDS === 0) {
-        targets.removeAged(nowMs);
-        peers.removeForgotten(nowMs);
+      targets.recordHeartbeat();
+      if (round % CLEANUP_INTERVAL_ROUNDS === 0) {
+        targets.removeExpired(nowMs);
+        peers.removeExpired(nowMs);
       }
-      const dead = decideDeaths(nowMs);
+      const dead = markDeadPeers(nowMs);
       const partners = Partners.choosePartners({
         self: peers.getSelf(),
         records: peers.listRecords(),
         seeds,
         round,
-        hasNews: targets.hasNews(nowMs),
+        hasUpdates: targets.hasUpdates(nowMs),
         nextRandom,
       });
       return { partners, probes: listProbes(nowMs), dead, pausedMs };
@@ -123,9 +124,9 @@
       return peers.listRecords().map((record) => ({
         ...record,
         state: getState(record, nowMs),
-        configurationRevision: state.getRevision(record.name),
+        configurationRevision: state.getPeerRevision(record.name),
       }));
     },
-    listZonesAway: () => zones.listAway(),
+    listUnreachableZones: () => zones.listUnreachable(),
   };
 }
--- a/packages/sequoiarill-plugin-membership/src/runningRouter.ts
+++ b/packages/sequoiarill-plugin-membership/src/runningRouter.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of one router together once its address is known. */
+/** Creates and connects the components of a router once its address is known. */
 import type { PluginContext, StateDump } from '@sequoiarill/types';
 
 import * as Dumps from './dump';
@@ -12,11 +12,11 @@
 import * as PeerRouters from './peerRouter';
 import type { PeerServer } from './peerServer';
 import type { MergeOutcome } from './peerRegistry';
-import * as PeerTables from './peerRegistry';
+import * as PeerRegistries from './peerRegistry';
 import * as PeerTasks from './peerTasks';
 import * as RoundPlans from './rounds';
 import type { Rounds } from './rounds';
-import * as TargetTables from './targetHealthRegistry';
+import * as HealthRegistries from './targetHealthRegistry';
 
 export interface RunningRouterOptions {
   readonly context: PluginContext;
@@ -24,7 +24,7 @@
   readonly server: PeerServer;
   readonly address: string;
   readonly seeds: readonly string[];
-  readonly onTargets: (targets: readonly string[]) => void;
+  readonly onTargetsChanged: (targets: readonly string[]) => void;
 }
 
 export interface RunningRouter {
@@ -39,20 +39,21 @@
   const { default: createXxHash } = await import('xxhash-wasm');
   const { h64ToString } = await createXxHash();
   const { name } = context.process;
-  const peers = PeerTables.createPeerRegistry({
+  const peers = PeerRegistries.createPeerRegistry({
     process: context.process,
     address,
-    // The wall clock only makes a restart likely to come out higher; peers correct it if not.
+    // The wall clock usually makes the incarnation higher after a restart; otherwise peers correct
+    // it.
     incarnation: Date.parse(context.clock.getWallTime()),
     hashText: (text) => h64ToString(text),
   });
   const state = States.createExchangeState({
     peers,
-    targets: TargetTables.createTargetHealthRegistry(name, (text) => h64ToString(text)),
+    targets: HealthRegistries.createTargetHealthRegistry(name, (text) => h64ToString(text)),
     detector: Detectors.createFailureDetector(),
     configuration: context.getCapability('configurationExchange'),
     getNowMs: context.clock.getNowMs,
-    onTargetsChanged: options.onTargets,
+    onTargetsChanged: options.onTargetsChanged,
     onPeerRecord: (record, outcome) => logRecord(context, record, outcome),
     onNewerConfiguration: (peer) => tasks.startExchange(peer),
   });
@@ -60,9 +61,9 @@
   const client = PeerClients.createPeerClient({
     key,
     getSelf: peers.getSelf,
-    onOldIncarnation(highest) {
-      if (highest < peers.getSelf().incarnation) return;
-      peers.setIncarnationAbove(highest);
+    onStaleIncarnation(highestIncarnation) {
+      if (highestIncarnation < peers.getSelf().incarnation) return;
+      peers.setIncarnationAbove(highestIncarnation);
       state.updateRoster();
     },
   });
@@ -71,12 +72,12 @@
   async function isReachable(peer: string): Promise<boolean> {
     const record = peers.findRecord(peer);
     if (record === undefined) return false;
-    const answer = await client.callPeer({
+    const result = await client.callPeer({
       procedure: 'ping',
       address: record.address,
       input: { from: name },
     });
-    return answer.kind === 'answered' && (answer.output as PingOutput).name === peer;
+    return result.kind === 'answered' && (result.output as PingOutput).name === peer;
   }
 
   server.setRouter(PeerRouters.createPeerRouter({ state, isReachable }), address);
--- a/packages/sequoiarill-plugin-membership/src/settings.ts
+++ b/packages/sequoiarill-plugin-membership/src/settings.ts
@@ -4,21 +4,23 @@
 import * as Kernel from '@sequoiarill/kernel';
 import * as Zod from 'zod';
 
-const anyAddresses: ReadonlySet<string> = new Set(['0.0.0.0', '::']);
-const loopback = new BlockList();
-loopback.addSubnet('127.0.0.0', 8, 'ipv4');
-loopback.addAddress('::1', 'ipv6');
+const wildcardAddresses: ReadonlySet<string> = new Set(['0.0.0.0', '::']);
+const loopbackAddresses = new BlockList();
+loopbackAddresses.addSubnet('127.0.0.0', 8, 'ipv4');
+loopbackAddresses.addAddress('::1', 'ipv6');
 
 const fields = Zod.strictObject({
-  /** Where this router listens for its peers; port 0 takes a free one. */
+  /** Address of the listener for other routers; port 0 selects a free port. */
   listen: Kernel.addressSchema.default('127.0.0.1:8091'),
-  /** Where its peers reach it; the bound address unless given. */
+  /** Address at which other routers reach this one; defaults to the bound address. */
   advertise: Kernel.addressSchema.optional(),
-  /** Peers to ask first, comma-separated; one that lives is enough. */
+  /** Addresses of routers to contact first, comma-separated; one that runs is sufficient. */
   seeds: Kernel.listSchema
     .refine((seeds) => seeds.every(Kernel.isAddress), 'use IP:port, separated by commas')
     .default([]),
-  /** At least 32 hexadecimal digits, or a file that holds them; the same for the whole fleet. */
+  /**
+   * At least 32 hexadecimal digits, or the path of a file with them; the same for the whole fleet.
+   */
   sharedKey: Zod.string().min(1).optional(),
 });
 
@@ -27,7 +29,7 @@
 export const settingsSchema: Zod.ZodType<MembershipSettings> = fields.superRefine(
   (settings, context) => {
     const host = getHost(settings.listen);
-    if (settings.advertise === undefined && anyAddresses.has(host)) {
+    if (settings.advertise === undefined && wildcardAddresses.has(host)) {
       const message = 'set it to the IP:port at which other routers reach this one';
       context.addIssue({ code: 'custom', path: ['advertise'], message });
     }
@@ -44,5 +46,5 @@
 }
 
 function isLoopback(host: string): boolean {
-  return loopback.check(host, isIPv6(host) ? 'ipv6' : 'ipv4');
+  return loopbackAddresses.check(host, isIPv6(host) ? 'ipv6' : 'ipv4');
 }
--- a/packages/sequoiarill-plugin-membership/src/sharedKey.ts
+++ b/packages/sequoiarill-plugin-membership/src/sharedKey.ts
@@ -1,27 +1,27 @@
-/** The key that all routers of a fleet share. */
+/** Loads the key that all routers of a fleet share. */
 import { readFileSync } from 'node:fs';
 
-const HEX_KEY = /^([0-9a-f]{2}){16,}$/i;
-/** Known to everybody: only for routers on one machine's loopback address, such as the demo. */
+const HEX_KEY_PATTERN = /^([0-9a-f]{2}){16,}$/i;
+/** Public, so it is used only for routers that listen on a loopback address, such as the demo. */
 const LOOPBACK_KEY = Buffer.from('sequoiarill loopback routers');
 
 export class SharedKeyError extends Error {
   override readonly name = 'SharedKeyError';
 }
 
-/** Takes the digits themselves or the name of a file that holds them. */
+/** Accepts the digits themselves or the path of a file that contains them. */
 export function loadKey(setting: string | undefined): Buffer {
   if (setting === undefined) return LOOPBACK_KEY;
-  const text = HEX_KEY.test(setting) ? setting : readKeyFile(setting);
-  if (HEX_KEY.test(text)) return Buffer.from(text, 'hex');
+  const text = HEX_KEY_PATTERN.test(setting) ? setting : readKeyFile(setting);
+  if (HEX_KEY_PATTERN.test(text)) return Buffer.from(text, 'hex');
   throw new SharedKeyError(
-    'section [membership], key sharedKey: the file must hold 32 or more hexadecimal digits in pairs',
+    'section [membership], key sharedKey: the file must contain 32 or more hexadecimal digits in pairs',
   );
 }
 
 /**
- * The setting itself stays out of the error: a mistyped key looks like the name of a file that is
- * missing, and start errors end in logs.
+ * The error does not include the setting: a mistyped key is treated as the path of a missing file,
+ * and start errors are written to logs.
  */
 function readKeyFile(file: string): string {
   try {
@@ -29,7 +29,7 @@
   } catch (error) {
     const { code = 'unreadable' } = error as NodeJS.ErrnoException;
     throw new SharedKeyError(
-      `section [membership], key sharedKey: no pairs of hexadecimal digits, and no file of that name (${code})`,
+      `section [membership], key sharedKey: the value is neither 32 or more hexadecimal digits in pairs nor a readable file (${code})`,
     );
   }
 }
--- a/packages/sequoiarill-plugin-membership/src/signatures.ts
+++ b/packages/sequoiarill-plugin-membership/src/signatures.ts
@@ -1,4 +1,4 @@
-/** Signatures of calls between routers and of their answers. */
+/** Signatures of calls between routers and of their responses. */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
 export const HEADERS = {
@@ -10,40 +10,40 @@
 
 export interface SignedCall {
   readonly method: string;
-  /** `host:port` that is called, so that a call to one router means nothing to another. */
+  /** `host:port` of the receiver, so that a call to one router is invalid at another. */
   readonly to: string;
   readonly path: string;
   readonly from: string;
   readonly incarnation: number;
-  /** Rises with each call of an incarnation, so that a repeated call is known as such. */
+  /** Increases with each call of an incarnation, so that a replayed call is detected. */
   readonly counter: number;
   readonly body: string;
 }
 
-export interface SignedAnswer {
-  /** Binds the answer to its call: an older answer is no answer to this one. */
+export interface SignedResponse {
+  /** Binds the response to its call, so that the response to an earlier call is invalid. */
   readonly callSignature: string;
   readonly status: number;
   readonly body: string;
 }
 
-/** The array form keeps a field's end apart from the next one's beginning. */
+/** Signs the fields as a JSON array, which keeps their boundaries unambiguous. */
 export function signCall(key: Buffer, call: SignedCall): string {
   const { method, to, path, from, incarnation, counter, body } = call;
-  return hashParts(key, ['call', method, to, path, from, incarnation, counter, body]);
+  return computeHmac(key, ['call', method, to, path, from, incarnation, counter, body]);
 }
 
-export function signAnswer(key: Buffer, answer: SignedAnswer): string {
-  return hashParts(key, ['answer', answer.callSignature, answer.status, answer.body]);
+export function signResponse(key: Buffer, response: SignedResponse): string {
+  return computeHmac(key, ['answer', response.callSignature, response.status, response.body]);
 }
 
-/** In constant time, so that a forger learns nothing from how long a refusal takes. */
-export function isSameSignature(given: string, expected: string): boolean {
-  const left = Buffer.from(given);
+/** Compares in constant time, so that the duration reveals nothing about the expected signature. */
+export function isSameSignature(received: string, expected: string): boolean {
+  const left = Buffer.from(received);
   const right = Buffer.from(expected);
   return left.length === right.length && timingSafeEqual(left, right);
 }
 
-function hashParts(key: Buffer, parts: readonly (string | number)[]): string {
-  return createHmac('sha256', key).update(JSON.stringify(parts)).digest('base64url');
+function computeHmac(key: Buffer, fields: readonly (string | number)[]): string {
+  return createHmac('sha256', key).update(JSON.stringify(fields)).digest('base64url');
 }
--- a/packages/sequoiarill-plugin-membership/src/targetFact.ts
+++ b/packages/sequoiarill-plugin-membership/src/targetFact.ts
@@ -1,33 +1,38 @@
-/** What one router saw of one target, and how several such facts become one answer. Pure. */
+/**
+ * A fact is one router's observation of one target. Merges the facts of several routers into one
+ * health.
+ */
 import type { TargetHealth, TargetReport, TargetState } from '@sequoiarill/types';
 
 export interface TargetFact extends TargetReport {
   readonly observer: string;
-  /** Rises with each fact of this observer within one incarnation. */
+  /** Increases with each fact of this observer within one incarnation. */
   readonly version: number;
-  /** Monotonic time of this process at which it was seen, its age on arrival taken off. */
+  /** Time of the observation on the monotonic clock of this process: arrival time minus the age. */
   readonly seenMs: number;
 }
 
-/** Twice the time in which load is told again, so that one lost round does not hide a target. */
-export const FRESH_MS = 6_000;
+/** Twice the interval at which load is published, so that one lost round does not hide a target. */
+export const MAX_FACT_AGE_MS = 6_000;
 /**
- * A death is believed longer, since nobody sends to a dead target and so nobody tells of it again;
- * when it has aged out, the next request finds out for all. Shorter would spend more requests on
- * it, longer would leave a target idle that has come back.
+ * Facts about dead targets are valid for longer, because no router sends requests to a dead target
+ * and so none publishes its state again. After expiry the next request probes the target for all
+ * routers. A shorter time would lose more requests to dead targets; a longer one would leave a
+ * recovered target idle.
  */
-export const DEAD_FRESH_MS = 10_000;
+export const MAX_DEAD_FACT_AGE_MS = 10_000;
 
 export function isFresh(fact: TargetFact, nowMs: number): boolean {
-  const limitMs = fact.state === 'dead' ? DEAD_FRESH_MS : FRESH_MS;
-  return nowMs - fact.seenMs < limitMs;
+  const maxAgeMs = fact.state === 'dead' ? MAX_DEAD_FACT_AGE_MS : MAX_FACT_AGE_MS;
+  return nowMs - fact.seenMs < maxAgeMs;
 }
 
 /**
- * The own observation counts before all others, since a partition may cut off only this router or
- * only the others. Without one, a target is dead or slow when a majority of fresh observers says
- * so: one observer behind a broken switch would else take away targets that serve all the others.
- * A leaving target is leaving whoever says it, since only the platform or the target itself knows.
+ * The own observation takes precedence, because a partition may affect only this router or only the
+ * others. Without one, a target is dead or slow if a majority of recent observers report it:
+ * otherwise one observer behind a broken switch could remove targets that serve all other routers.
+ * A target is leaving if any observer reports it, because that information comes from the platform
+ * or the target itself.
  */
 export function mergeFacts(
   facts: readonly TargetFact[],
@@ -37,18 +42,18 @@
   const fresh = facts.filter((fact) => isFresh(fact, nowMs));
   const [newest] = [...fresh].sort((left, right) => right.seenMs - left.seenMs);
   if (newest === undefined) return undefined;
-  const own = fresh.find((fact) => fact.observer === self);
+  const ownFact = fresh.find((fact) => fact.observer === self);
   const state = fresh.some((fact) => fact.state === 'leaving')
     ? 'leaving'
-    : (own?.state ?? decideMajority(fresh));
-  const witness = own ?? fresh.find((fact) => fact.state === state) ?? newest;
-  const load = fresh.filter((fact) => fact.running !== undefined);
-  const [newestLoad] = load.sort((left, right) => right.seenMs - left.seenMs);
+    : (ownFact?.state ?? decideMajority(fresh));
+  const sourceFact = ownFact ?? fresh.find((fact) => fact.state === state) ?? newest;
+  const loadFacts = fresh.filter((fact) => fact.running !== undefined);
+  const [newestLoad] = loadFacts.sort((left, right) => right.seenMs - left.seenMs);
   return {
     target: newest.target,
     state,
-    observer: witness.observer,
-    ageMs: Math.max(0, nowMs - witness.seenMs),
+    observer: sourceFact.observer,
+    ageMs: Math.max(0, nowMs - sourceFact.seenMs),
     ...(newestLoad?.running === undefined ? {} : { running: newestLoad.running }),
     ...(newestLoad?.waiting === undefined ? {} : { waiting: newestLoad.waiting }),
   };
--- a/packages/sequoiarill-plugin-membership/src/targetHealthRegistry.ts
+++ b/packages/sequoiarill-plugin-membership/src/targetHealthRegistry.ts
@@ -1,8 +1,9 @@
 /**
- * Facts about the zone's targets by all its routers. Pure: the time is an argument.
+ * Health of the zone's targets: the facts (observations) published by all routers of the zone.
+ * Performs no I/O: the time is an argument.
  *
- * Each observer numbers its facts in one rising sequence. For each observer a router knows up to
- * which number it has everything, so one number an observer tells exactly what another lacks.
+ * Each observer numbers its facts in one increasing sequence. A router stores for each observer the
+ * version up to which it has all facts, so one number per observer determines what a peer lacks.
  */
 import type { TargetHealth, TargetReport } from '@sequoiarill/types';
 
@@ -14,30 +15,30 @@
 import * as Facts from './targetFact';
 import type { TargetFact } from './targetFact';
 
-/** An own sight that no decision uses any more. */
-const SIGHT_MS = 30_000;
+/** Own observations are removed at this age; decisions ignore them long before. */
+const OWN_OBSERVATION_RETENTION_MS = 30_000;
 
 export interface TargetHealthRegistry {
   readonly setRoster: (roster: readonly RosterEntry[]) => void;
-  /** The next version of this process, also when nothing else changed: its heartbeat. */
-  readonly recordBeat: () => void;
-  /** Tells whether the observation changed the state that this router told last. */
+  /** Increments the version of this process, which serves as its heartbeat, without a new fact. */
+  readonly recordHeartbeat: () => void;
+  /** Returns whether the observation changes the state that this router published last. */
   readonly recordReport: (report: TargetReport, nowMs: number) => boolean;
-  /** Forgets what this process told, when others took it for dead meanwhile. */
-  readonly removeOwn: () => void;
-  /** By roster order. */
+  /** Removes the facts of this process, for use after other routers considered it dead. */
+  readonly removeOwnFacts: () => void;
+  /** In the order of the roster. */
   readonly getVersions: () => readonly number[];
   readonly getOwnVersion: () => number;
   readonly listDelta: (versions: readonly number[], nowMs: number, maxFacts: number) => Delta;
-  readonly listNews: (nowMs: number, maxFacts: number) => readonly ObserverDelta[];
-  readonly hasNews: (nowMs: number) => boolean;
-  /** Returns the targets of which something new came. */
+  readonly listUpdates: (nowMs: number, maxFacts: number) => readonly ObserverDelta[];
+  readonly hasUpdates: (nowMs: number) => boolean;
+  /** Returns the targets with new facts. */
   readonly mergeDelta: (delta: Delta) => readonly string[];
-  readonly mergeNews: (observers: readonly ObserverDelta[]) => readonly string[];
+  readonly mergeUpdates: (observers: readonly ObserverDelta[]) => readonly string[];
   readonly getHealth: (target: string, nowMs: number) => TargetHealth | undefined;
   readonly listTargets: () => readonly string[];
   readonly listFacts: () => readonly TargetFact[];
-  readonly removeAged: (nowMs: number) => void;
+  readonly removeExpired: (nowMs: number) => void;
 }
 
 interface Observer extends RosterEntry {
@@ -48,8 +49,10 @@
   let observers: readonly Observer[] = [];
   let ownVersion = 0;
   const store = FactStores.createFactStore();
-  /** What this router saw last, told or not; the first to be asked in its own decisions. */
-  const ownSights = new Map<string, TargetFact>();
+  /**
+   * Latest own observations, published or not; they take precedence in decisions of this router.
+   */
+  const ownObservations = new Map<string, TargetFact>();
   const ranks = new Map<string, number>();
 
   function getVersion(observer: Observer): number {
@@ -58,56 +61,56 @@
 
   function mergeFact(observer: Observer, fact: TargetFact): boolean {
     const stored = store.findFact(fact.target, observer.name);
-    // Late and repeated facts: everything up to these versions was seen before.
+    // Ignore delayed and duplicate facts: all versions up to this one were received before.
     const knownVersion = Math.max(observer.version, stored?.version ?? 0);
     if (fact.version <= knownVersion) return false;
     store.setFact({ ...fact, observer: observer.name });
     return true;
   }
 
-  function mergeNews(news: readonly ObserverDelta[]): readonly string[] {
-    const touched = new Set<string>();
-    for (const { observer: name, facts } of news) {
+  function mergeUpdates(updates: readonly ObserverDelta[]): readonly string[] {
+    const changedTargets = new Set<string>();
+    for (const { observer: name, facts } of updates) {
       const observer = observers.find((candidate) => candidate.name === name);
       if (observer === undefined || name === self) continue;
       const merged = facts.filter((fact) => mergeFact(observer, fact));
-      merged.forEach((fact) => touched.add(fact.target));
+      merged.forEach((fact) => changedTargets.add(fact.target));
     }
-    return [...touched];
+    return [...changedTargets];
   }
 
   function getRank(target: string): number {
-    const known = ranks.get(target);
-    if (known !== undefined) return known;
+    const cachedRank = ranks.get(target);
+    if (cachedRank !== undefined) return cachedRank;
     const ownHash = hashText(`${target} ${self}`);
-    const rivals = observers.filter(({ name }) => name !== self);
-    const better = rivals.filter(({ name }) => hashText(`${target} ${name}`) < ownHash);
-    ranks.set(target, better.length);
-    return better.length;
+    const others = observers.filter(({ name }) => name !== self);
+    const ahead = others.filter(({ name }) => hashText(`${target} ${name}`) < ownHash);
+    ranks.set(target, ahead.length);
+    return ahead.length;
   }
 
   return {
     setRoster(roster) {
-      const known = new Map(observers.map((observer) => [observer.name, observer]));
+      const existing = new Map(observers.map((observer) => [observer.name, observer]));
       const names = new Set(roster.map((entry) => entry.name));
-      for (const name of known.keys()) if (!names.has(name)) store.removeObserver(name);
+      for (const name of existing.keys()) if (!names.has(name)) store.removeObserver(name);
       observers = roster.map((entry) => {
-        const observer = known.get(entry.name);
+        const observer = existing.get(entry.name);
         if (observer?.incarnation === entry.incarnation) return observer;
         if (entry.name !== self) store.removeObserver(entry.name);
         return { ...entry, version: 0 };
       });
       ranks.clear();
     },
-    recordBeat() {
+    recordHeartbeat() {
       ownVersion += 1;
     },
     recordReport(report, nowMs) {
-      ownSights.set(report.target, { ...report, observer: self, version: 0, seenMs: nowMs });
+      ownObservations.set(report.target, { ...report, observer: self, version: 0, seenMs: nowMs });
       const decision = Publishing.decidePublishing({
         report,
-        told: store.findFact(report.target, self),
-        known: store.listOfTarget(report.target),
+        published: store.findFact(report.target, self),
+        knownFacts: store.listByTarget(report.target),
         rank: getRank(report.target),
         nowMs,
       });
@@ -116,9 +119,9 @@
       store.setFact({ ...report, observer: self, version: ownVersion, seenMs: nowMs });
       return decision === 'stateChange';
     },
-    removeOwn() {
+    removeOwnFacts() {
       store.removeObserver(self);
-      ownSights.clear();
+      ownObservations.clear();
     },
     getVersions: () => observers.map(getVersion),
     getOwnVersion: () => ownVersion,
@@ -130,29 +133,29 @@
       }));
       return Deltas.selectDelta(candidates, maxFacts);
     },
-    listNews: (nowMs, maxFacts) =>
-      Deltas.buildObserverDeltas(store.listNews(nowMs).slice(0, maxFacts)),
-    hasNews: (nowMs) => store.listNews(nowMs).length > 0,
+    listUpdates: (nowMs, maxFacts) =>
+      Deltas.buildObserverDeltas(store.listUpdates(nowMs).slice(0, maxFacts)),
+    hasUpdates: (nowMs) => store.listUpdates(nowMs).length > 0,
     mergeDelta(delta) {
-      const touched = mergeNews(delta.observers);
+      const changedTargets = mergeUpdates(delta.observers);
       delta.versions.forEach((version, index) => {
         const observer = observers[index];
         if (observer !== undefined) observer.version = Math.max(observer.version, version);
       });
-      return touched;
+      return changedTargets;
     },
-    mergeNews,
+    mergeUpdates,
     getHealth(target, nowMs) {
-      const others = store.listOfTarget(target).filter((fact) => fact.observer !== self);
-      const own = ownSights.get(target);
+      const others = store.listByTarget(target).filter((fact) => fact.observer !== self);
+      const own = ownObservations.get(target);
       return Facts.mergeFacts(own === undefined ? others : [...others, own], self, nowMs);
     },
-    listTargets: () => [...new Set([...store.listTargets(), ...ownSights.keys()])],
+    listTargets: () => [...new Set([...store.listTargets(), ...ownObservations.keys()])],
     listFacts: () => store.listAll(),
-    removeAged(nowMs) {
-      store.removeAged(nowMs);
-      for (const [target, fact] of ownSights) {
-        if (nowMs - fact.seenMs >= SIGHT_MS) ownSights.delete(target);
+    removeExpired(nowMs) {
+      store.removeExpired(nowMs);
+      for (const [target, fact] of ownObservations) {
+        if (nowMs - fact.seenMs >= OWN_OBSERVATION_RETENTION_MS) ownObservations.delete(target);
       }
     },
   };
--- a/packages/sequoiarill-plugin-membership/src/zoneReachability.ts
+++ b/packages/sequoiarill-plugin-membership/src/zoneReachability.ts
@@ -1,23 +1,23 @@
 /**
- * Which other zones this router reaches. Only a router's zone mates hear its heartbeats and may
- * declare it dead; of a zone that does not answer, nothing is known but that.
+ * Tracks which other zones this router can reach. Only routers of the same zone receive a router's
+ * heartbeats and may declare it dead; routers of an unreachable zone may be alive.
  */
 
-/** Calls to different routers in a row; one or two fail when single routers die. */
-const FAILURES_UNTIL_AWAY = 3;
+/** Consecutive failures; single failed routers can cause one or two. */
+const FAILURES_UNTIL_UNREACHABLE = 3;
 
-export interface ZoneReach {
+export interface ZoneReachability {
   readonly recordSuccess: (zone: string) => void;
   readonly recordFailure: (zone: string) => void;
-  readonly isAway: (zone: string) => boolean;
-  readonly listAway: () => readonly string[];
+  readonly isUnreachable: (zone: string) => boolean;
+  readonly listUnreachable: () => readonly string[];
 }
 
-export function createZoneReach(): ZoneReach {
+export function createZoneReachability(): ZoneReachability {
   const failures = new Map<string, number>();
 
-  function isAway(zone: string): boolean {
-    return (failures.get(zone) ?? 0) >= FAILURES_UNTIL_AWAY;
+  function isUnreachable(zone: string): boolean {
+    return (failures.get(zone) ?? 0) >= FAILURES_UNTIL_UNREACHABLE;
   }
 
   return {
@@ -27,7 +27,7 @@
     recordFailure(zone) {
       failures.set(zone, (failures.get(zone) ?? 0) + 1);
     },
-    isAway,
-    listAway: () => [...failures.keys()].filter(isAway).sort(),
+    isUnreachable,
+    listUnreachable: () => [...failures.keys()].filter(isUnreachable).sort(),
   };
 }
