--- a/packages/sequoiarill-plugin-membership/src/plugin.ts
+++ b/packages/sequoiarill-plugin-membership/src/plugin.ts
@@ -1,4 +1,6 @@
-/** Plug-in `membership`: routers know each other, the zone's targets and the newest document. */
+/**
+ * Plug-in `membership`: exchanges router records, target health and configuration between routers.
+ */
 import type {
   Membership,
   Plugin,
@@ -53,7 +55,8 @@
     listPeers: () => router?.rounds.listPeers() ?? [],
     getTargetHealth: (target) => router?.state.targets.getHealth(target, context.clock.getNowMs()),
     reportTarget(report) {
-      const isChange = router?.state.targets.recordOwn(report, context.clock.getNowMs()) ?? false;
+      const isChange =
+        router?.state.targets.recordReport(report, context.clock.getNowMs()) ?? false;
       if (isChange) sendHealth([report.target]);
     },
     subscribeTargets(listener) {
@@ -73,12 +76,15 @@
         server,
         address,
         seeds: settings.seeds,
-        onTargets: sendHealth,
+        onTargetsChanged: sendHealth,
       });
       context.logEvent(Events.LISTENING, { listen: bound, advertise: address });
       if (settings.sharedKey === undefined) context.logEvent(Events.NO_SHARED_KEY);
     },
-    /** Told at once, so that the others count on it no more; it goes on exchanging until it stops. */
+    /**
+     * Announces the drain so that other routers stop relying on this one; exchanges continue until
+     * stop.
+     */
     async drain() {
       router?.state.peers.markLeaving();
       router?.state.updateRoster();
