--- a/bench/src/decisions.ts
+++ b/bench/src/decisions.ts
@@ -16,9 +16,9 @@
   readonly pattern?: string;
 }
 
-function playAll(only: string | undefined): readonly Play.PlaySummary[] {
-  const policies = [Play.OWN_POLICY, ...Play.BASELINES, ...Play.CHOICES];
-  return Play.PATTERNS.filter((pattern) => only === undefined || pattern.name === only).flatMap(
+function playAll(only: string | undefined): readonly Play.SimulationSummary[] {
+  const policies = [Play.OWN_POLICY, ...Play.BASELINE_POLICIES, ...Play.BASELINE_CHOICE_POLICIES];
+  return Play.WORKLOADS.filter((pattern) => only === undefined || pattern.name === only).flatMap(
     (pattern) => policies.map((policy) => Means.playMean(pattern, policy)),
   );
 }
--- a/bench/src/decisions/means.ts
+++ b/bench/src/decisions/means.ts
@@ -5,13 +5,16 @@
 const SEED_STEP = 1_000;
 
 /** Means of shares and times; counts are of all runs, the longest pause is the longest of any. */
-export function playMean(pattern: Play.Pattern, policy: Play.PolicyDefinition): Play.PlaySummary {
+export function playMean(
+  pattern: Play.Workload,
+  policy: Play.PolicyDefinition,
+): Play.SimulationSummary {
   const runs = Array.from({ length: SEEDS }, (_value, index) =>
-    Play.playPattern({ ...pattern, seed: pattern.seed + index * SEED_STEP }, policy),
+    Play.simulateWorkload({ ...pattern, seed: pattern.seed + index * SEED_STEP }, policy),
   );
-  const computeSum = (key: keyof Play.PlaySummary) =>
+  const computeSum = (key: keyof Play.SimulationSummary) =>
     runs.reduce((sum, run) => sum + Number(run[key]), 0);
-  const computeMean = (key: keyof Play.PlaySummary) => computeSum(key) / SEEDS;
+  const computeMean = (key: keyof Play.SimulationSummary) => computeSum(key) / SEEDS;
   return {
     policy: policy.name,
     pattern: pattern.name,
--- a/bench/src/decisions/report.ts
+++ b/bench/src/decisions/report.ts
@@ -15,22 +15,25 @@
 }
 
 export interface DecisionsReport {
-  readonly patterns: readonly Play.PlaySummary[];
+  readonly patterns: readonly Play.SimulationSummary[];
   readonly slopes: readonly SlopeRow[];
   /** One request at 372 targets and 6,500 organisations: admission, shares and choice together. */
   readonly microsPerDecision: number;
   readonly goals: readonly Goal[];
 }
 
-function findOwn(rows: readonly Play.PlaySummary[]): readonly Play.PlaySummary[] {
+function findOwn(rows: readonly Play.SimulationSummary[]): readonly Play.SimulationSummary[] {
   return rows.filter((row) => row.policy === 'ours');
 }
 
-function formatWorst(rows: readonly Play.PlaySummary[], key: 'worstShare' | 'p95FirstTokenMs') {
+function formatWorst(
+  rows: readonly Play.SimulationSummary[],
+  key: 'worstShare' | 'p95FirstTokenMs',
+) {
   return rows.map((row) => `${row.pattern} ${Math.round(row[key] * 1000) / 1000}`).join(', ');
 }
 
-function checkSaturation(own: readonly Play.PlaySummary[]): Goal {
+function checkSaturation(own: readonly Play.SimulationSummary[]): Goal {
   const saturation = own.find((row) => row.pattern === 'saturation');
   const goodput = saturation?.goodputShare ?? 0;
   return {
@@ -40,7 +43,7 @@
   };
 }
 
-function checkFairness(own: readonly Play.PlaySummary[]): Goal {
+function checkFairness(own: readonly Play.SimulationSummary[]): Goal {
   const below = own.filter((row) => row.worstShare < SHARE_GOAL);
   return {
     goal: `the worst organisation gets at least ${SHARE_GOAL} of its fair share in every pattern`,
@@ -49,7 +52,7 @@
   };
 }
 
-function checkFirstToken(own: readonly Play.PlaySummary[]): Goal {
+function checkFirstToken(own: readonly Play.SimulationSummary[]): Goal {
   const above = own.filter((row) => row.p95FirstTokenMs > 1_000);
   return {
     goal: 'the 95th percentile of the first token of admitted work is at most 1 s in every pattern',
@@ -58,7 +61,7 @@
   };
 }
 
-function checkBaselines(rows: readonly Play.PlaySummary[]): Goal {
+function checkBaselines(rows: readonly Play.SimulationSummary[]): Goal {
   const behind: string[] = [];
   for (const own of findOwn(rows)) {
     const better = rows.filter(
@@ -100,7 +103,7 @@
 }
 
 export function buildReport(
-  patterns: readonly Play.PlaySummary[],
+  patterns: readonly Play.SimulationSummary[],
   slopes: readonly SlopeRow[],
   microsPerDecision: number,
 ): DecisionsReport {
--- a/bench/src/rollout.ts
+++ b/bench/src/rollout.ts
@@ -1,6 +1,6 @@
 /** Roll-outs of sound and bad versions over many routers, by our plan and by two usual ones. */
-import * as Play from '@sequoiarill/plugin-rollouts/lib/play';
-import type { RolloutCase, RolloutResult } from '@sequoiarill/plugin-rollouts/lib/play';
+import * as Play from '@sequoiarill/plugin-rollouts/lib/simulation';
+import type { RolloutCase, RolloutResult } from '@sequoiarill/plugin-rollouts/lib/simulation';
 
 import * as Output from './output';
 
@@ -26,7 +26,7 @@
 
 async function playSeeds(played: RolloutCase, { decide }: Strategy) {
   const results: RolloutResult[] = [];
-  for (const seed of SEEDS) results.push(await Play.playRollout({ ...played, seed }, decide));
+  for (const seed of SEEDS) results.push(await Play.simulateRollout({ ...played, seed }, decide));
   return results;
 }
 
@@ -48,7 +48,7 @@
 
 async function measureRollouts(): Promise<Output.Result> {
   const cases: RolloutResult[] = [];
-  for (const played of Play.CASES) cases.push(await Play.playRollout(played));
+  for (const played of Play.CASES) cases.push(await Play.simulateRollout(played));
   const strategies = [];
   for (const strategy of Play.STRATEGIES) strategies.push(await measureStrategy(strategy));
   return { cases, strategies };
--- a/packages/sequoiarill-decisions/src/simulation/__tests__/patterns.test.ts
+++ b/packages/sequoiarill-decisions/src/simulation/__tests__/workloads.test.ts
@@ -2,38 +2,41 @@
 
 import { expect } from 'earl';
 
-import * as Play from '..';
+import * as Sim from '..';
 
-function findPattern(name: string): Play.Pattern {
-  const pattern = Play.PATTERNS.find((one) => one.name === name);
+function findPattern(name: string): Sim.Workload {
+  const pattern = Sim.WORKLOADS.find((one) => one.name === name);
   if (pattern === undefined) throw new Error(`no pattern ${name}`);
   return pattern;
 }
 
-function playOwn(name: string): Play.PlaySummary {
-  return Play.playPattern(findPattern(name), Play.OWN_POLICY);
+function playOwn(name: string): Sim.SimulationSummary {
+  return Sim.simulateWorkload(findPattern(name), Sim.OWN_POLICY);
 }
 
-function playBaselines(name: string): readonly Play.PlaySummary[] {
-  return Play.BASELINES.map((baseline) => Play.playPattern(findPattern(name), baseline));
+function playBaselines(name: string): readonly Sim.SimulationSummary[] {
+  return Sim.BASELINE_POLICIES.map((baseline) => Sim.simulateWorkload(findPattern(name), baseline));
 }
 
-/** Throws with the whole summary, so that a failure shows what callers got. */
-function checkSummary(summary: Play.PlaySummary, bounds: Partial<Play.PlaySummary>): void {
+/** Throws with the complete summary, so that a failure shows what callers got. */
+function checkSummary(
+  summary: Sim.SimulationSummary,
+  bounds: Partial<Sim.SimulationSummary>,
+): void {
   const { goodputShare = 0, goodputOfAsked = 0, worstShare = 0, ...most } = bounds;
   const least = { goodputShare, goodputOfAsked, worstShare };
-  const broken: string[] = [];
-  for (const [key, bound] of Object.entries(least)) {
-    if (Number(summary[key as keyof Play.PlaySummary]) < bound) broken.push(`${key} < ${bound}`);
+  const missed: string[] = [];
+  for (const [key, min] of Object.entries(least)) {
+    if (Number(summary[key as keyof Sim.SimulationSummary]) < min) missed.push(`${key} < ${min}`);
   }
-  for (const [key, bound] of Object.entries(most)) {
-    if (summary[key as keyof Play.PlaySummary] > bound) broken.push(`${key} > ${bound}`);
+  for (const [key, max] of Object.entries(most)) {
+    if (summary[key as keyof Sim.SimulationSummary] > max) missed.push(`${key} > ${max}`);
   }
-  const report = broken.length === 0 ? '' : `${broken.join(', ')} in ${JSON.stringify(summary)}`;
+  const report = missed.length === 0 ? '' : `${missed.join(', ')} in ${JSON.stringify(summary)}`;
   expect(report).toEqual('');
 }
 
-function checkAhead(own: Play.PlaySummary, others: readonly Play.PlaySummary[]): void {
+function checkAhead(own: Sim.SimulationSummary, others: readonly Sim.SimulationSummary[]): void {
   const ahead = others.filter((other) => other.goodputShare >= own.goodputShare);
   expect(ahead.map((other) => `${other.policy} ${other.goodputShare}`)).toEqual([]);
 }
@@ -156,7 +159,7 @@
 
   it('plays the same numbers for the same seed', () => {
     const pattern = { ...findPattern('saturation'), judgedFromMs: 20_000, endMs: 60_000 };
-    const first = Play.playPattern(pattern, Play.OWN_POLICY);
-    expect(Play.playPattern(pattern, Play.OWN_POLICY)).toEqual(first);
+    const first = Sim.simulateWorkload(pattern, Sim.OWN_POLICY);
+    expect(Sim.simulateWorkload(pattern, Sim.OWN_POLICY)).toEqual(first);
   });
 });
--- a/packages/sequoiarill-decisions/src/simulation/capacity.ts
+++ b/packages/sequoiarill-decisions/src/simulation/capacity.ts
@@ -1,9 +1,9 @@
 /** What the engines can generate: every slot taken at every moment, with the same requests. */
 import * as EngineModel from './engineModel';
-import * as Patterns from './patterns';
-import type { Pattern } from './patterns';
+import * as Workloads from './workloads';
+import type { Workload } from './workloads';
 import * as Timelines from './timeline';
-import * as Workload from './workload';
+import * as RequestGenerator from './requestGenerator';
 
 const PREFILL_TOKENS_PER_MS = 10;
 const GAP_MS = 20;
@@ -21,8 +21,8 @@
   return EngineModel.createEngineModel(
     {
       name: `engine-${index}`,
-      zone: `zone-${index % Patterns.ZONES}`,
-      slots: Patterns.SLOTS,
+      zone: `zone-${index % Workloads.ZONES}`,
+      slots: Workloads.SLOTS,
       prefillTokensPerMs: PREFILL_TOKENS_PER_MS,
       gapMs: GAP_MS,
       busyShare: BUSY_SHARE,
@@ -33,11 +33,11 @@
 }
 
 /** Tokens a second of all engines, measured on one of them. */
-export function measureCapacity(pattern: Pattern): number {
+export function measureCapacity(pattern: Workload): number {
   const timeline = Timelines.createTimeline();
   const engine = createPlayEngine(0, timeline);
   const endMs = MEASURED_FROM_MS + MEASURED_MS;
-  const requests = Workload.createRequests({ ...pattern, endMs, getLoad: () => 1 }, 100);
+  const requests = RequestGenerator.createRequests({ ...pattern, endMs, getLoad: () => 1 }, 100);
   let tokens = 0;
 
   function startNext(): void {
@@ -56,7 +56,7 @@
     });
   }
 
-  for (let count = 0; count < Patterns.SLOTS + WAITING; count += 1) startNext();
+  for (let count = 0; count < Workloads.SLOTS + WAITING; count += 1) startNext();
   timeline.playUntil(endMs);
-  return (tokens * Patterns.ENGINES * 1000) / MEASURED_MS;
+  return (tokens * Workloads.ENGINES * 1000) / MEASURED_MS;
 }
--- a/packages/sequoiarill-decisions/src/simulation/flight.ts
+++ b/packages/sequoiarill-decisions/src/simulation/flight.ts
@@ -1,7 +1,7 @@
 /** One request on its way, over all engines that take part. */
 import type { Permit } from '../admissionTypes';
 import type { Finished } from './ledger';
-import type { PlayRequest } from './workload';
+import type { PlayRequest } from './requestGenerator';
 
 export interface Flight {
   readonly request: PlayRequest;
--- a/packages/sequoiarill-decisions/src/simulation/index.ts
+++ b/packages/sequoiarill-decisions/src/simulation/index.ts
@@ -1,7 +1,7 @@
 /** Played loads: a queueing model of engines and routers in virtual time, for tests and the bench. */
 export * from './capacity';
 export * from './ledger';
-export * from './patterns';
-export * from './playPattern';
+export * from './workloads';
+export * from './simulateWorkload';
 export * from './policies';
 export * from './random';
--- a/packages/sequoiarill-decisions/src/simulation/ledger.ts
+++ b/packages/sequoiarill-decisions/src/simulation/ledger.ts
@@ -1,6 +1,6 @@
 /** What callers got in one played pattern, and what it says about the policy. */
-import type { Pattern } from './patterns';
-import type { PlayRequest } from './workload';
+import type { Workload } from './workloads';
+import type { PlayRequest } from './requestGenerator';
 
 /** The bounds of a good answer, milliseconds. */
 export const FIRST_TOKEN_BOUND_MS = 1_000;
@@ -24,7 +24,7 @@
   readonly freeShare: number;
 }
 
-export interface PlaySummary {
+export interface SimulationSummary {
   readonly policy: string;
   readonly pattern: string;
   /** Tokens of good answers that ended in the judged time over what the engines can generate. */
@@ -56,14 +56,14 @@
   readonly recordAbandoned: (request: PlayRequest, waitedMs: number) => void;
   readonly recordFailed: (request: PlayRequest) => void;
   readonly recordWaste: (tokens: number, atMs: number) => void;
-  readonly getSummary: (policy: string, capacityTokensPerSecond: number) => PlaySummary;
+  readonly getSummary: (policy: string, capacityTokensPerSecond: number) => SimulationSummary;
 }
 
 /** Waiting is not late unless a caller could notice. */
 const NOTICED_MS = 50;
 const FREE_SHARE = 0.1;
 
-export function createLedger(pattern: Pattern): Ledger {
+export function createLedger(pattern: Workload): Ledger {
   const firstTokens: number[] = [];
   const askedTokens = new Map<string, number>();
   const servedTokens = new Map<string, number>();
@@ -124,7 +124,7 @@
     if (isJudged(atMs)) wastedTokens += tokens;
   }
 
-  function getSummary(policy: string, capacity: number): PlaySummary {
+  function getSummary(policy: string, capacity: number): SimulationSummary {
     const seconds = (pattern.endMs - pattern.judgedFromMs) / 1000;
     const possible = Math.min(computeSum(askedTokens), capacity * seconds);
     return {
@@ -179,7 +179,7 @@
 
 /** Max-min fairness: nobody gets more than it asked for, the rest is divided by weight. */
 function computeWorstShare(
-  pattern: Pattern,
+  pattern: Workload,
   asked: ReadonlyMap<string, number>,
   served: ReadonlyMap<string, number>,
 ): number {
--- a/packages/sequoiarill-decisions/src/simulation/policies.ts
+++ b/packages/sequoiarill-decisions/src/simulation/policies.ts
@@ -8,7 +8,7 @@
 import * as RetryBudget from '../retryBudget';
 import * as TargetChooser from '../targetChooser';
 import type { ChoiceRequest } from '../targets';
-import { ENGINES, ROUTERS, SLOTS } from './patterns';
+import { ENGINES, ROUTERS, SLOTS } from './workloads';
 
 /** Everything one router decides with. Absent parts are not decided at all. */
 export interface RouterPolicy {
@@ -110,17 +110,19 @@
 export const OWN_POLICY: PolicyDefinition = { name: 'ours', createPolicy: createOwnPolicy };
 
 /** Choice of target alone, everything let in, as a balancer does it. */
-export const BASELINES: readonly PolicyDefinition[] = [
+export const BASELINE_POLICIES: readonly PolicyDefinition[] = [
   { name: 'roundRobin', createPolicy: createRoundRobin },
   { name: 'random', createPolicy: createRandomChoice },
   { name: 'leastReported', createPolicy: createLeastReported },
 ];
 
 /** Our admission, outlier detection and pacing with another choice: what the choice itself gains. */
-export const CHOICES: readonly PolicyDefinition[] = BASELINES.map((baseline) => ({
-  name: `ours+${baseline.name}`,
-  createPolicy: (nextRandom) => ({
-    ...createDecisions(nextRandom),
-    ...baseline.createPolicy(nextRandom),
+export const BASELINE_CHOICE_POLICIES: readonly PolicyDefinition[] = BASELINE_POLICIES.map(
+  (baseline) => ({
+    name: `ours+${baseline.name}`,
+    createPolicy: (nextRandom) => ({
+      ...createDecisions(nextRandom),
+      ...baseline.createPolicy(nextRandom),
+    }),
   }),
-}));
+);
--- a/packages/sequoiarill-decisions/src/simulation/reports.ts
+++ b/packages/sequoiarill-decisions/src/simulation/reports.ts
@@ -1,6 +1,6 @@
 /** Load reports of engines, as old as routers see them. */
 import type { EngineModel, EngineReport } from './engineModel';
-import type { Pattern } from './patterns';
+import type { Workload } from './workloads';
 import type { Timeline } from './timeline';
 
 export interface Reports {
@@ -8,7 +8,7 @@
 }
 
 export function createReports(
-  pattern: Pattern,
+  pattern: Workload,
   engines: readonly EngineModel[],
   timeline: Timeline,
 ): Reports {
--- a/packages/sequoiarill-decisions/src/simulation/workload.ts
+++ b/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
@@ -1,6 +1,6 @@
 /** The requests of a pattern: when they come, from whom, how long they are. */
-import type { Pattern } from './patterns';
-import { ROUTERS } from './patterns';
+import type { Workload } from './workloads';
+import { ROUTERS } from './workloads';
 import * as Random from './random';
 
 export interface PlayRequest {
@@ -37,7 +37,7 @@
 
 /** `requestsPerSecond` at a load of 1. Generated as asked for, in order of arrival. */
 export function* createRequests(
-  pattern: Pattern,
+  pattern: Workload,
   requestsPerSecond: number,
 ): Generator<PlayRequest, void, void> {
   const nextRandom = Random.createRandom(pattern.seed);
--- a/packages/sequoiarill-decisions/src/simulation/routerModel.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerModel.ts
@@ -8,7 +8,7 @@
 import type { Reports } from './reports';
 import * as RouterViews from './routerViews';
 import type { Timeline } from './timeline';
-import type { PlayRequest } from './workload';
+import type { PlayRequest } from './requestGenerator';
 
 /** A caller without a first token leaves after this time, milliseconds. */
 const PATIENCE_MS = 5_000;
--- a/packages/sequoiarill-decisions/src/simulation/playPattern.ts
+++ b/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
@@ -2,14 +2,14 @@
 import * as Capacity from './capacity';
 import type * as EngineModel from './engineModel';
 import * as Ledger from './ledger';
-import * as Patterns from './patterns';
-import type { FaultEvent, Pattern } from './patterns';
+import * as Workloads from './workloads';
+import type { FaultEvent, Workload } from './workloads';
 import type { PolicyDefinition } from './policies';
 import * as Random from './random';
 import * as Reports from './reports';
 import * as RouterModel from './routerModel';
 import * as Timelines from './timeline';
-import * as Workload from './workload';
+import * as RequestGenerator from './requestGenerator';
 
 /** A refused caller who does not wait as it was told comes back after this time, milliseconds. */
 const IMPATIENT_MS = 200;
@@ -19,7 +19,7 @@
 function applyFault(fault: FaultEvent, engines: readonly EngineModel.EngineModel[]): void {
   for (const index of fault.engines) {
     const engine = engines[index];
-    if (fault.kind === 'slow') engine?.setSlowness(Patterns.getSlowness());
+    if (fault.kind === 'slow') engine?.setSlowness(Workloads.getSlowness());
     else if (fault.kind === 'failing') engine?.setFailing(true);
     else engine?.setDead(fault.kind === 'dead');
   }
@@ -28,12 +28,15 @@
 function computeFreeShare(engines: readonly EngineModel.EngineModel[]): number {
   const usable = engines.filter((engine) => engine.isUsable());
   const running = usable.reduce((sum, engine) => sum + engine.getReport().running, 0);
-  return 1 - running / Math.max(1, usable.length * Patterns.SLOTS);
+  return 1 - running / Math.max(1, usable.length * Workloads.SLOTS);
 }
 
-export function playPattern(pattern: Pattern, definition: PolicyDefinition): Ledger.PlaySummary {
+export function simulateWorkload(
+  pattern: Workload,
+  definition: PolicyDefinition,
+): Ledger.SimulationSummary {
   const timeline = Timelines.createTimeline();
-  const engines = Array.from({ length: Patterns.ENGINES }, (_value, index) =>
+  const engines = Array.from({ length: Workloads.ENGINES }, (_value, index) =>
     Capacity.createPlayEngine(index, timeline),
   );
   const ledger = Ledger.createLedger(pattern);
@@ -41,7 +44,7 @@
   const retries = new Map<string, number>();
 
   /** The same caller again, as a new request of its own. */
-  function handleRefused(request: Workload.PlayRequest): void {
+  function handleRefused(request: RequestGenerator.PlayRequest): void {
     const key = `${request.organisation} ${request.outputTokens} ${request.promptTokens}`;
     const count = retries.get(key) ?? 0;
     if (count >= pattern.callerRetries) return;
@@ -50,9 +53,9 @@
     timeline.addEvent(arrivedMs, () => sendRequest({ ...request, arrivedMs }));
   }
 
-  const routers = Array.from({ length: Patterns.ROUTERS }, (_value, index) =>
+  const routers = Array.from({ length: Workloads.ROUTERS }, (_value, index) =>
     RouterModel.createRouterModel({
-      zone: `zone-${index % Patterns.ZONES}`,
+      zone: `zone-${index % Workloads.ZONES}`,
       engines,
       reports,
       timeline,
@@ -63,17 +66,17 @@
     }),
   );
 
-  function sendRequest(request: Workload.PlayRequest): void {
+  function sendRequest(request: RequestGenerator.PlayRequest): void {
     ledger.recordAsked(request);
     routers[request.router]?.handleRequest(request);
   }
 
   const capacity = Capacity.measureCapacity(pattern);
-  const requestsPerSecond = capacity / Workload.computeMeanOutput(pattern.longShare);
+  const requestsPerSecond = capacity / RequestGenerator.computeMeanOutput(pattern.longShare);
   pattern.faults.forEach((fault) =>
     timeline.addEvent(fault.atMs, () => applyFault(fault, engines)),
   );
-  for (const request of Workload.createRequests(pattern, requestsPerSecond)) {
+  for (const request of RequestGenerator.createRequests(pattern, requestsPerSecond)) {
     timeline.playUntil(request.arrivedMs);
     sendRequest(request);
   }
--- a/packages/sequoiarill-decisions/src/simulation/patterns.ts
+++ b/packages/sequoiarill-decisions/src/simulation/workloads.ts
@@ -14,7 +14,7 @@
   readonly engines: readonly number[];
 }
 
-export interface Pattern {
+export interface Workload {
   readonly name: string;
   readonly seed: number;
   readonly organisations: readonly PlayOrganisation[];
@@ -54,7 +54,7 @@
 /** The first two send 70% of the requests. */
 const SKEWED = listOrganisations([35, 35, 4, 4, 4, 4, 4, 4, 3, 3]);
 
-const BASE: Omit<Pattern, 'name'> = {
+const BASE: Omit<Workload, 'name'> = {
   seed: 20_261_202,
   organisations: EVEN,
   getLoad: () => 0.7,
@@ -80,7 +80,7 @@
   return isBurst ? 6 : 0.6;
 }
 
-export const PATTERNS: readonly Pattern[] = [
+export const WORKLOADS: readonly Workload[] = [
   { ...BASE, name: 'steady' },
   { ...BASE, name: 'burst', getLoad: getBurstLoad },
   { ...BASE, name: 'fewOrganisations', organisations: SKEWED, getLoad: () => 1.3 },
--- a/packages/sequoiarill-plugin-rollouts/src/play/playRollout.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulateRollout.ts
@@ -42,7 +42,7 @@
 }
 
 /** The same case gives the same result each time. */
-export async function playRollout(
+export async function simulateRollout(
   played: RolloutCase,
   decideStep: DecideRolloutStep = Decisions.decideRolloutStep,
 ): Promise<RolloutResult> {
