--- a/packages/sequoiarill-decisions/src/__tests__/enginePlacement.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/enginePlacement.test.ts
@@ -46,7 +46,7 @@
   const waits: number[] = [];
   let nowMs = 0;
   while (waits.length < 600) {
-    nowMs += Random.pickExponential(nextRandom, 120);
+    nowMs += Random.sampleExponential(nextRandom, 120);
     const engine = pickEngine(engines, nowMs, nextRandom);
     engine.freeAtMs = Math.max(nowMs, engine.freeAtMs) + 1_000;
     engine.endsMs.push(engine.freeAtMs);
--- a/packages/sequoiarill-decisions/src/__tests__/streamAdmission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/streamAdmission.test.ts
@@ -24,7 +24,7 @@
   const gapMs = 1_000 / promptsPerSecond;
   let lastMs = 0;
   while (lastMs < LENGTH_MS) {
-    const nowMs = lastMs + Random.pickExponential(nextRandom, gapMs);
+    const nowMs = lastMs + Random.sampleExponential(nextRandom, gapMs);
     lastMs = nowMs;
     const asked = Array.from({ length: 6 }, () => Math.floor(nextRandom() * ENGINES));
     const waits = asked.map((engine) => Math.max(0, (freeAtMs[engine] ?? 0) - nowMs));
--- a/packages/sequoiarill-decisions/src/simulation/random.ts
+++ b/packages/sequoiarill-decisions/src/simulation/random.ts
@@ -11,12 +11,12 @@
 }
 
 /** Time to the next of events that are independent of each other. */
-export function pickExponential(nextRandom: NextRandom, mean: number): number {
+export function sampleExponential(nextRandom: NextRandom, mean: number): number {
   return -Math.log(1 - nextRandom()) * mean;
 }
 
 /** An index, each with the chance of its weight. */
-export function pickWeighted(nextRandom: NextRandom, weights: readonly number[]): number {
+export function sampleWeightedIndex(nextRandom: NextRandom, weights: readonly number[]): number {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   let left = nextRandom() * total;
   for (const [index, weight] of weights.entries()) {
--- a/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
+++ b/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
@@ -46,8 +46,8 @@
   let nowMs = 0;
   while (nowMs < pattern.endMs) {
     const perMs = (requestsPerSecond * pattern.getLoad(nowMs)) / 1000;
-    nowMs += Random.pickExponential(nextRandom, 1 / perMs);
-    const organisation = pattern.organisations[Random.pickWeighted(nextRandom, demands)];
+    nowMs += Random.sampleExponential(nextRandom, 1 / perMs);
+    const organisation = pattern.organisations[Random.sampleWeightedIndex(nextRandom, demands)];
     if (organisation !== undefined) {
       yield {
         organisation: organisation.name,
@@ -56,7 +56,7 @@
         arrivedMs: nowMs,
         promptTokens: SHARED_TOKENS + Math.ceil(OWN_TOKENS * 2 * nextRandom()),
         sharedTokens: SHARED_TOKENS,
-        prefixKey: `prefix-${Random.pickWeighted(nextRandom, prefixWeights)}`,
+        prefixKey: `prefix-${Random.sampleWeightedIndex(nextRandom, prefixWeights)}`,
         outputTokens: Math.ceil(pickOutput(nextRandom, pattern.longShare)),
       };
     }
