--- a/packages/sequoiarill-decisions/src/simulation/dispatcher.ts
+++ b/packages/sequoiarill-decisions/src/simulation/dispatcher.ts
@@ -1,7 +1,7 @@
 /** Sends flights to engines, hears how they end, and continues what was lost. */
 import type { EngineModel } from './engineModel';
-import type { Flight } from './flight';
-import type { Ledger } from './ledger';
+import type { Flight } from './inFlightRequest';
+import type { Ledger } from './simulationMetrics';
 import type { RouterPolicy } from './policies';
 import type { RouterViews } from './routerViews';
 import type { Timeline } from './timeline';
--- a/packages/sequoiarill-decisions/src/simulation/flight.ts
+++ b/packages/sequoiarill-decisions/src/simulation/inFlightRequest.ts
@@ -1,6 +1,6 @@
 /** One request on its way, over all engines that take part. */
 import type { Permit } from '../admissionTypes';
-import type { Finished } from './ledger';
+import type { Finished } from './simulationMetrics';
 import type { PlayRequest } from './requestGenerator';
 
 export interface Flight {
--- a/packages/sequoiarill-decisions/src/simulation/routerModel.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerModel.ts
@@ -2,10 +2,10 @@
 import type { Permit, Ticket } from '../admissionTypes';
 import * as Dispatchers from './dispatcher';
 import type { EngineModel } from './engineModel';
-import * as Flights from './flight';
-import type { Ledger } from './ledger';
+import * as Flights from './inFlightRequest';
+import type { Ledger } from './simulationMetrics';
 import type { RouterPolicy } from './policies';
-import type { Reports } from './reports';
+import type { Reports } from './loadReports';
 import * as RouterViews from './routerViews';
 import type { Timeline } from './timeline';
 import type { PlayRequest } from './requestGenerator';
--- a/packages/sequoiarill-decisions/src/simulation/routerViews.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerViews.ts
@@ -2,7 +2,7 @@
 import type { OutlierDetector } from '../outlierTypes';
 import type { TargetView } from '../targets';
 import type { EngineModel } from './engineModel';
-import type { Reports } from './reports';
+import type { Reports } from './loadReports';
 import type { Timeline } from './timeline';
 
 export interface RouterViewsOptions {
--- a/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
+++ b/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
@@ -1,12 +1,12 @@
 /** Plays one pattern of load through one policy and sums up what callers got. */
 import * as Capacity from './capacity';
 import type * as EngineModel from './engineModel';
-import * as Ledger from './ledger';
+import * as Ledger from './simulationMetrics';
 import * as Workloads from './workloads';
 import type { FaultEvent, Workload } from './workloads';
 import type { PolicyDefinition } from './policies';
 import * as Random from './random';
-import * as Reports from './reports';
+import * as Reports from './loadReports';
 import * as RouterModel from './routerModel';
 import * as Timelines from './timeline';
 import * as RequestGenerator from './requestGenerator';
