--- a/packages/sequoiarill-decisions/src/simulation/__tests__/workloads.test.ts
+++ b/packages/sequoiarill-decisions/src/simulation/__tests__/workloads.test.ts
@@ -4,18 +4,20 @@
 
 import * as Sim from '..';
 
-function findPattern(name: string): Sim.Workload {
-  const pattern = Sim.WORKLOADS.find((one) => one.name === name);
-  if (pattern === undefined) throw new Error(`no pattern ${name}`);
-  return pattern;
+function findWorkload(name: string): Sim.Workload {
+  const workload = Sim.WORKLOADS.find((one) => one.name === name);
+  if (workload === undefined) throw new Error(`no workload ${name}`);
+  return workload;
 }
 
-function playOwn(name: string): Sim.SimulationSummary {
-  return Sim.simulateWorkload(findPattern(name), Sim.OWN_POLICY);
+function simulateOwnPolicy(name: string): Sim.SimulationSummary {
+  return Sim.simulateWorkload(findWorkload(name), Sim.OWN_POLICY);
 }
 
-function playBaselines(name: string): readonly Sim.SimulationSummary[] {
-  return Sim.BASELINE_POLICIES.map((baseline) => Sim.simulateWorkload(findPattern(name), baseline));
+function simulateBaselines(name: string): readonly Sim.SimulationSummary[] {
+  return Sim.BASELINE_POLICIES.map((baseline) =>
+    Sim.simulateWorkload(findWorkload(name), baseline),
+  );
 }
 
 /** Throws with the complete summary, so that a failure shows what callers got. */
@@ -36,16 +38,19 @@
   expect(report).toEqual('');
 }
 
-function checkAhead(own: Sim.SimulationSummary, others: readonly Sim.SimulationSummary[]): void {
-  const ahead = others.filter((other) => other.goodputShare >= own.goodputShare);
-  expect(ahead.map((other) => `${other.policy} ${other.goodputShare}`)).toEqual([]);
+function checkGoodputAbove(
+  own: Sim.SimulationSummary,
+  others: readonly Sim.SimulationSummary[],
+): void {
+  const atLeastAsGood = others.filter((other) => other.goodputShare >= own.goodputShare);
+  expect(atLeastAsGood.map((other) => `${other.policy} ${other.goodputShare}`)).toEqual([]);
 }
 
-describe('played patterns of load', () => {
-  it('steady load: everybody is served and nobody refused', () => {
-    // Nothing is wrong at 70% of capacity. A policy for bad times that turns callers away in good
-    // ones would do more harm than the bad times.
-    checkSummary(playOwn('steady'), {
+describe('simulated workloads', () => {
+  it('steady load: every request is served and none is refused', () => {
+    // Guards against overload protection that refuses callers without need. At 70% of capacity there is
+    // no overload, and refusals there would do more harm than the overload they protect against.
+    checkSummary(simulateOwnPolicy('steady'), {
       goodputOfAsked: 0.99,
       p95FirstTokenMs: 250,
       refused: 5,
@@ -54,10 +59,10 @@
     });
   });
 
-  it('burst: ten times the load for 5 s is turned away at the door and leaves nothing behind', () => {
-    // A campaign mail sends ten times the shoppers for 5 s. Let in, they fill every engine's queue,
-    // and callers long after the burst wait for those who have given up.
-    const own = playOwn('burst');
+  it('burst: ten times the load for 5 s is refused on arrival and does not delay later requests', () => {
+    // A marketing mail brings ten times the usual shoppers for 5 s. If all are admitted, they fill every
+    // engine's queue, and later callers wait behind requests whose callers have already given up.
+    const own = simulateOwnPolicy('burst');
     checkSummary(own, {
       goodputOfAsked: 0.85,
       p95FirstTokenMs: 300,
@@ -65,58 +70,60 @@
       wastedShare: 0.01,
       refusedWrongly: 30,
     });
-    checkAhead(own, playBaselines('burst'));
+    checkGoodputAbove(own, simulateBaselines('burst'));
   });
 
-  it('few organisations: two that send 70% of an overload do not take it from the others', () => {
-    // Two large shops have a sale; together with eight small ones they ask for 1.3 times capacity. In
-    // order of arrival the small shops lose as many shoppers as the large ones, who caused it.
-    const own = playOwn('fewOrganisations');
+  it('few organisations: two that send 70% of an overload do not take the share of the others', () => {
+    // Two large shops have a sale; with eight small shops they request 1.3 times capacity. Served in
+    // order of arrival, the small shops lose the same share of requests as the large ones, which cause
+    // the overload.
+    const own = simulateOwnPolicy('fewOrganisations');
     checkSummary(own, {
       goodputShare: 0.92,
       worstShare: 0.87,
       p95FirstTokenMs: 1_000,
       wastedShare: 0.04,
     });
-    checkAhead(own, playBaselines('fewOrganisations'));
+    checkGoodputAbove(own, simulateBaselines('fewOrganisations'));
   });
 
-  it('few prompts: four shared instructions do not bury the engines that cached them', () => {
-    // Nearly all prompts begin with one of four texts. Sent where the prefix is cached and nowhere
-    // else, they fill four engines while twelve idle; sent anywhere, each engine prefills all four.
-    const own = playOwn('fewPrompts');
+  it('few prompts: four shared prompt prefixes do not overload the engines that cached them', () => {
+    // All prompts begin with one of four prefixes. Sent only to an engine that has cached the prefix, they
+    // fill four engines while twelve are idle; sent to any engine, each engine prefills all four.
+    const own = simulateOwnPolicy('fewPrompts');
     checkSummary(own, { goodputOfAsked: 0.96, p95FirstTokenMs: 400, wastedShare: 0.02 });
-    checkAhead(own, playBaselines('fewPrompts'));
+    checkGoodputAbove(own, simulateBaselines('fewPrompts'));
   });
 
-  it('slow target: it is left out within seconds and its share goes to its peers', () => {
-    // One engine's machine throttles to a sixth. Its streams still come, at 180 ms a token, so nothing
-    // fails; every caller sent there reads a crawling answer until the engine is left out.
-    const own = playOwn('slowTarget');
+  it('slow target: it is excluded within seconds and its share goes to the other targets', () => {
+    // One engine's machine is throttled to a sixth of its speed. Its streams still deliver a token every
+    // 180 ms, so nothing fails, and every caller sent there gets a slow answer until the engine is excluded.
+    const own = simulateOwnPolicy('slowTarget');
     checkSummary(own, { goodputOfAsked: 0.96, p95FirstTokenMs: 300, wastedShare: 0.03 });
-    checkAhead(own, playBaselines('slowTarget'));
+    checkGoodputAbove(own, simulateBaselines('slowTarget'));
   });
 
-  it('failing fast: the target that refuses everything does not draw everything', () => {
-    // An engine lost its accelerator and refuses within a millisecond. It never has work in progress,
-    // so it looks idle to whoever counts that, and takes most new prompts to refuse them.
-    const own = playOwn('failingFast');
+  it('failing fast: a target that refuses every request does not attract all requests', () => {
+    // An engine has lost its accelerator and refuses every request within a millisecond. It never has
+    // requests in flight, so a policy that counts those considers it idle and sends it most new prompts.
+    const own = simulateOwnPolicy('failingFast');
     checkSummary(own, { goodputOfAsked: 0.96, p95FirstTokenMs: 300, failed: 0 });
-    checkAhead(own, playBaselines('failingFast'));
+    checkGoodputAbove(own, simulateBaselines('failingFast'));
   });
 
-  it('long among short: long documents do not hold the short questions back', () => {
-    // A third of the requests are summaries of a minute and more, the rest are short questions, at
-    // 1.1 times capacity. The short ones must start beside the long ones, and the long ones at all.
-    const own = playOwn('longAmongShort');
+  it('long among short: long generations do not delay short ones', () => {
+    // At 1.1 times capacity, a third of the requests are summaries that run for a minute or more and the
+    // rest are short questions. The short ones must not wait for the long ones, and the long ones must not
+    // starve.
+    const own = simulateOwnPolicy('longAmongShort');
     checkSummary(own, { goodputShare: 0.92, p95FirstTokenMs: 1_000, worstShare: 0.85 });
-    checkAhead(own, playBaselines('longAmongShort'));
+    checkGoodputAbove(own, simulateBaselines('longAmongShort'));
   });
 
-  it('saturation: four minutes at 1.5 times capacity give capacity, not collapse', () => {
-    // Half as much again as the engines can do, for minutes. Everything let in means everything late:
-    // callers leave, their work was for nothing, and goodput goes to zero while the engines are full.
-    const own = playOwn('saturation');
+  it('saturation: goodput stays near capacity through four minutes at 1.5 times capacity', () => {
+    // The load is one and a half times capacity for minutes. If every request is admitted, every answer is
+    // late: callers leave, their work is wasted, and goodput falls to zero while the engines are full.
+    const own = simulateOwnPolicy('saturation');
     checkSummary(own, {
       goodputShare: 0.93,
       p95FirstTokenMs: 1_000,
@@ -125,41 +132,41 @@
       refusedWrongly: 60,
       abandoned: 5,
     });
-    checkAhead(own, playBaselines('saturation'));
+    checkGoodputAbove(own, simulateBaselines('saturation'));
   });
 
-  it('a third lost, then back: the survivors serve what they can, the streams go on', () => {
-    // Five of sixteen engines die at 75% load with some 120 streams on them, and come back a minute
-    // later with cold caches. New prompts must give way to the streams that are continued.
-    const own = playOwn('thirdLost');
+  it('a third lost, then restored: the others serve what they can, and streams are continued', () => {
+    // Five of sixteen engines die at 75% load, with about 120 streams on them, and restart a minute later
+    // with cold caches. Continued streams must take precedence over new prompts.
+    const own = simulateOwnPolicy('thirdLost');
     checkSummary(own, { goodputOfAsked: 0.91, p95FirstTokenMs: 600, failed: 5, abandoned: 5 });
-    checkAhead(own, playBaselines('thirdLost'));
+    checkGoodputAbove(own, simulateBaselines('thirdLost'));
   });
 
-  it('stale reports: reports three to five seconds old do not send everybody to one engine', () => {
-    // Load reports come late. The engine that looked idle four seconds ago is chosen by every router
-    // until the next report shows what they did to it.
-    const own = playOwn('staleReports');
+  it('stale reports: reports three to five seconds old do not send all requests to one engine', () => {
+    // Load reports arrive late. Every router chooses the engine that was idle four seconds ago until the
+    // next report shows the load that they caused there.
+    const own = simulateOwnPolicy('staleReports');
     checkSummary(own, { goodputOfAsked: 0.93, p95FirstTokenMs: 800, wastedShare: 0.05 });
-    checkAhead(own, playBaselines('staleReports'));
+    checkGoodputAbove(own, simulateBaselines('staleReports'));
   });
 
-  it('retry storm: refused callers who come back at once do not change what the others get', () => {
-    // Callers ignore Retry-After and come back 200 ms later, up to four times, at 1.3 times capacity.
-    // Refusing must stay cheap and fair, or the retries push out those who wait as told.
-    const own = playOwn('retryStorm');
+  it('retry storm: refused callers that retry at once do not affect the other callers', () => {
+    // At 1.3 times capacity, callers ignore Retry-After and retry after 200 ms, up to four times. Refusals
+    // must stay cheap and fair, or the retries displace the callers that honour Retry-After.
+    const own = simulateOwnPolicy('retryStorm');
     checkSummary(own, {
       goodputShare: 0.92,
       p95FirstTokenMs: 1_000,
       worstShare: 0.88,
       wastedShare: 0.04,
     });
-    checkAhead(own, playBaselines('retryStorm'));
+    checkGoodputAbove(own, simulateBaselines('retryStorm'));
   });
 
-  it('plays the same numbers for the same seed', () => {
-    const pattern = { ...findPattern('saturation'), judgedFromMs: 20_000, endMs: 60_000 };
-    const first = Sim.simulateWorkload(pattern, Sim.OWN_POLICY);
-    expect(Sim.simulateWorkload(pattern, Sim.OWN_POLICY)).toEqual(first);
+  it('gives the same summary for the same seed', () => {
+    const workload = { ...findWorkload('saturation'), judgedFromMs: 20_000, endMs: 60_000 };
+    const first = Sim.simulateWorkload(workload, Sim.OWN_POLICY);
+    expect(Sim.simulateWorkload(workload, Sim.OWN_POLICY)).toEqual(first);
   });
 });
--- a/packages/sequoiarill-decisions/src/simulation/capacity.ts
+++ b/packages/sequoiarill-decisions/src/simulation/capacity.ts
@@ -1,4 +1,4 @@
-/** What the engines can generate: every slot taken at every moment, with the same requests. */
+/** Capacity of the engines: their throughput on the workload's requests while no slot is ever idle. */
 import * as EngineModel from './engineModel';
 import * as Workloads from './workloads';
 import type { Workload } from './workloads';
@@ -6,57 +6,57 @@
 import * as RequestGenerator from './requestGenerator';
 
 const PREFILL_TOKENS_PER_MS = 10;
-const GAP_MS = 20;
-const BUSY_SHARE = 0.5;
+const TOKEN_GAP_MS = 20;
+const FULL_LOAD_GAP_INCREASE = 0.5;
 const CACHED_PREFIXES = 12;
-/** Streams that wait at the engine, so that a slot is taken again as soon as it is free. */
-const WAITING = 8;
-const MEASURED_FROM_MS = 200_000;
-const MEASURED_MS = 800_000;
+/** Streams queued at the engine, so that a slot is taken again as soon as it is free. */
+const WAITING_STREAMS = 8;
+const MEASUREMENT_START_MS = 200_000;
+const MEASUREMENT_DURATION_MS = 800_000;
 
-export function createPlayEngine(
+export function createSimulatedEngine(
   index: number,
   timeline: Timelines.Timeline,
 ): EngineModel.EngineModel {
   return EngineModel.createEngineModel(
     {
       name: `engine-${index}`,
-      zone: `zone-${index % Workloads.ZONES}`,
-      slots: Workloads.SLOTS,
+      zone: `zone-${index % Workloads.ZONE_COUNT}`,
+      slots: Workloads.SLOTS_PER_ENGINE,
       prefillTokensPerMs: PREFILL_TOKENS_PER_MS,
-      gapMs: GAP_MS,
-      busyShare: BUSY_SHARE,
+      gapMs: TOKEN_GAP_MS,
+      fullLoadGapIncrease: FULL_LOAD_GAP_INCREASE,
       cachedPrefixes: CACHED_PREFIXES,
     },
     timeline,
   );
 }
 
-/** Tokens a second of all engines, measured on one of them. */
-export function measureCapacity(pattern: Workload): number {
+/** Tokens per second of all engines, measured on one engine. */
+export function measureCapacity(workload: Workload): number {
   const timeline = Timelines.createTimeline();
-  const engine = createPlayEngine(0, timeline);
-  const endMs = MEASURED_FROM_MS + MEASURED_MS;
-  const requests = RequestGenerator.createRequests({ ...pattern, endMs, getLoad: () => 1 }, 100);
-  let tokens = 0;
+  const engine = createSimulatedEngine(0, timeline);
+  const endMs = MEASUREMENT_START_MS + MEASUREMENT_DURATION_MS;
+  const requests = RequestGenerator.createRequests({ ...workload, endMs, getLoad: () => 1 }, 100);
+  let generatedTokens = 0;
 
   function startNext(): void {
-    const next = requests.next();
-    if (next.done) return;
-    const request = next.value;
+    const nextRequest = requests.next();
+    if (nextRequest.done) return;
+    const request = nextRequest.value;
     engine.startStream({
       ...request,
       isContinuation: false,
       onFirstToken: () => undefined,
       onLost: () => undefined,
       onEnd: () => {
-        if (timeline.getNowMs() >= MEASURED_FROM_MS) tokens += request.outputTokens;
+        if (timeline.getNowMs() >= MEASUREMENT_START_MS) generatedTokens += request.outputTokens;
         startNext();
       },
     });
   }
 
-  for (let count = 0; count < Workloads.SLOTS + WAITING; count += 1) startNext();
-  timeline.playUntil(endMs);
-  return (tokens * Workloads.ENGINES * 1000) / MEASURED_MS;
+  for (let count = 0; count < Workloads.SLOTS_PER_ENGINE + WAITING_STREAMS; count += 1) startNext();
+  timeline.runUntil(endMs);
+  return (generatedTokens * Workloads.ENGINE_COUNT * 1000) / MEASUREMENT_DURATION_MS;
 }
--- a/packages/sequoiarill-decisions/src/simulation/decoder.ts
+++ b/packages/sequoiarill-decisions/src/simulation/decoder.ts
@@ -1,34 +1,34 @@
 /**
- * The decoding streams of one engine. All get their tokens at one pace, which slows with their number,
- * so one count of tokens tells when each stream ends without playing every token.
+ * Decoding streams of one engine. All streams receive tokens at the same rate, which falls as streams are
+ * added. A single running token count therefore gives the end of each stream, without an event per token.
  */
 import * as Heap from '../heap';
 import type { Timeline } from './timeline';
 
 export interface DecoderOptions {
   readonly slots: number;
-  /** Between tokens with one stream, milliseconds. */
+  /** Time between tokens when the engine runs a single stream, milliseconds. */
   readonly gapMs: number;
-  /** Part that a full engine adds to the gap. */
-  readonly busyShare: number;
+  /** Fraction by which `gapMs` grows when all slots are in use. */
+  readonly fullLoadGapIncrease: number;
   readonly timeline: Timeline;
 }
 
 export interface DecodingStream {
-  readonly getGenerated: () => number;
-  /** Ends it early; answers what was generated. */
+  readonly countGeneratedTokens: () => number;
+  /** Ends the stream early; returns the number of tokens generated until then. */
   readonly cancelStream: () => number;
 }
 
 export interface Decoder {
-  readonly addStream: (tokens: number, onEnd: (meanGapMs: number) => void) => DecodingStream;
-  readonly setSlowness: (factor: number) => void;
+  readonly startStream: (tokens: number, onEnd: (meanGapMs: number) => void) => DecodingStream;
+  readonly setSlowdown: (factor: number) => void;
   readonly getGapMs: () => number;
 }
 
-interface Entry {
-  readonly startClock: number;
-  readonly endClock: number;
+interface ActiveStream {
+  readonly startTokens: number;
+  readonly endTokens: number;
   readonly startedMs: number;
   readonly tokens: number;
   readonly onEnd: (meanGapMs: number) => void;
@@ -36,73 +36,83 @@
 
 export function createDecoder(options: DecoderOptions): Decoder {
   const { timeline } = options;
-  const queue = Heap.createHeap<Entry>((entry) => entry.endClock);
-  const live = new Set<Entry>();
-  let clock = 0;
-  let clockAtMs = 0;
-  let epoch = 0;
-  let slowness = 1;
+  const queue = Heap.createHeap<ActiveStream>((stream) => stream.endTokens);
+  const decoding = new Set<ActiveStream>();
+  let tokensPerStream = 0;
+  let updatedAtMs = 0;
+  let eventRevision = 0;
+  let slowdown = 1;
 
   function getGapMs(): number {
-    return options.gapMs * (1 + (options.busyShare * live.size) / options.slots) * slowness;
+    return (
+      options.gapMs * (1 + (options.fullLoadGapIncrease * decoding.size) / options.slots) * slowdown
+    );
   }
 
-  function updateClock(): void {
+  function updateTokens(): void {
     const nowMs = timeline.getNowMs();
-    clock += (nowMs - clockAtMs) / getGapMs();
-    clockAtMs = nowMs;
+    tokensPerStream += (nowMs - updatedAtMs) / getGapMs();
+    updatedAtMs = nowMs;
   }
 
-  /** The next stream that ends, at the present pace; a change of pace voids the event. */
+  /** Schedules the end of the stream that ends next at the current rate; a later call replaces the event. */
   function addEndEvent(): void {
-    epoch += 1;
-    const ownEpoch = epoch;
-    let next = queue.getFirst();
-    while (next !== undefined && !live.has(next)) {
+    eventRevision += 1;
+    const ownRevision = eventRevision;
+    let nextStream = queue.getFirst();
+    while (nextStream !== undefined && !decoding.has(nextStream)) {
       queue.takeFirst();
-      next = queue.getFirst();
+      nextStream = queue.getFirst();
     }
-    if (next === undefined) return;
-    const leftTokens = Math.max(0, next.endClock - clock);
-    timeline.addEvent(timeline.getNowMs() + leftTokens * getGapMs(), () => {
-      if (ownEpoch === epoch) handleEnd();
+    if (nextStream === undefined) return;
+    const remainingTokens = Math.max(0, nextStream.endTokens - tokensPerStream);
+    timeline.addEvent(timeline.getNowMs() + remainingTokens * getGapMs(), () => {
+      if (ownRevision === eventRevision) handleEnd();
     });
   }
 
   function handleEnd(): void {
-    updateClock();
-    const ended = queue.takeFirst();
-    if (ended === undefined) return;
-    live.delete(ended);
+    updateTokens();
+    const endedStream = queue.takeFirst();
+    if (endedStream === undefined) return;
+    decoding.delete(endedStream);
     addEndEvent();
-    ended.onEnd((timeline.getNowMs() - ended.startedMs) / Math.max(1, ended.tokens));
+    endedStream.onEnd(
+      (timeline.getNowMs() - endedStream.startedMs) / Math.max(1, endedStream.tokens),
+    );
   }
 
-  function addStream(tokens: number, onEnd: (meanGapMs: number) => void): DecodingStream {
-    updateClock();
+  function startStream(tokens: number, onEnd: (meanGapMs: number) => void): DecodingStream {
+    updateTokens();
     const startedMs = timeline.getNowMs();
-    const entry = { startClock: clock, endClock: clock + tokens, startedMs, tokens, onEnd };
-    live.add(entry);
-    queue.addValue(entry);
+    const stream = {
+      startTokens: tokensPerStream,
+      endTokens: tokensPerStream + tokens,
+      startedMs,
+      tokens,
+      onEnd,
+    };
+    decoding.add(stream);
+    queue.addValue(stream);
     addEndEvent();
-    const getGenerated = () => {
-      updateClock();
-      return clock - entry.startClock;
+    const countGeneratedTokens = () => {
+      updateTokens();
+      return tokensPerStream - stream.startTokens;
     };
     const cancelStream = () => {
-      const generated = getGenerated();
-      live.delete(entry);
+      const generatedTokens = countGeneratedTokens();
+      decoding.delete(stream);
       addEndEvent();
-      return generated;
+      return generatedTokens;
     };
-    return { getGenerated, cancelStream };
+    return { countGeneratedTokens, cancelStream };
   }
 
-  function setSlowness(factor: number): void {
-    updateClock();
-    slowness = factor;
+  function setSlowdown(factor: number): void {
+    updateTokens();
+    slowdown = factor;
     addEndEvent();
   }
 
-  return { addStream, setSlowness, getGapMs };
+  return { startStream, setSlowdown, getGapMs };
 }
--- a/packages/sequoiarill-decisions/src/simulation/dispatcher.ts
+++ b/packages/sequoiarill-decisions/src/simulation/dispatcher.ts
@@ -1,135 +1,149 @@
-/** Sends flights to engines, hears how they end, and continues what was lost. */
+/** Sends requests to engines, handles how they end, and retries or continues the ones that failed. */
 import type { EngineModel } from './engineModel';
-import type { Flight } from './inFlightRequest';
-import type { Ledger } from './simulationMetrics';
+import type { InFlightRequest } from './inFlightRequest';
+import type { SimulationMetrics } from './simulationMetrics';
 import type { RouterPolicy } from './policies';
 import type { RouterViews } from './routerViews';
 import type { Timeline } from './timeline';
 
-/** A broken stream is noticed after this time, milliseconds. */
-const NOTICED_MS = 300;
+/** Time until the router detects a broken stream. */
+const BREAK_DETECTION_DELAY_MS = 300;
 const MAX_ATTEMPTS = 4;
-const NO_TARGET_WAIT_MS = 500;
+const NO_TARGET_RETRY_DELAY_MS = 500;
 
 export interface DispatcherOptions {
   readonly zone: string;
   readonly engines: readonly EngineModel[];
   readonly timeline: Timeline;
   readonly policy: RouterPolicy;
-  readonly ledger: Ledger;
+  readonly metrics: SimulationMetrics;
   readonly views: RouterViews;
-  /** The flight has ended, whichever way. */
-  readonly onOver: (flight: Flight, outputTokens: number) => void;
+  /** Called once when a request ends, whatever the result. */
+  readonly onRequestEnd: (inFlight: InFlightRequest, outputTokens: number) => void;
 }
 
 export interface Dispatcher {
-  readonly startFlight: (flight: Flight) => void;
+  readonly startRequest: (inFlight: InFlightRequest) => void;
 }
 
 export function createDispatcher(options: DispatcherOptions): Dispatcher {
-  const { engines, timeline, policy, ledger, views } = options;
+  const { engines, timeline, policy, metrics, views } = options;
 
-  function pickTarget(flight: Flight): EngineModel | undefined {
-    const { request, excluded } = flight;
+  function chooseTarget(inFlight: InFlightRequest): EngineModel | undefined {
+    const { request, excludedEngines: excluded } = inFlight;
     const name = policy.chooseTarget({
       candidates: views.listViews(),
       zone: options.zone,
       prefixKeys: [`${request.prefixKey}+${request.arrivedMs}`, request.prefixKey],
       nowMs: timeline.getNowMs(),
       excluded,
-      purpose: flight.getEmitted() > 0 ? 'continuation' : 'first',
-      promptTokens: request.promptTokens + flight.getEmitted(),
+      purpose: inFlight.countEmittedTokens() > 0 ? 'continuation' : 'first',
+      promptTokens: request.promptTokens + inFlight.countEmittedTokens(),
     });
     return engines.find((engine) => engine.settings.name === name);
   }
 
-  function startFlight(flight: Flight): void {
-    if (flight.isOver()) return;
-    const engine = pickTarget(flight);
+  function startRequest(inFlight: InFlightRequest): void {
+    if (inFlight.hasEnded()) return;
+    const engine = chooseTarget(inFlight);
     if (engine === undefined) {
-      flight.excluded.clear();
-      timeline.addEvent(timeline.getNowMs() + NO_TARGET_WAIT_MS, () => startFlight(flight));
+      inFlight.excludedEngines.clear();
+      timeline.addEvent(timeline.getNowMs() + NO_TARGET_RETRY_DELAY_MS, () =>
+        startRequest(inFlight),
+      );
       return;
     }
-    sendFlight(flight, engine);
+    sendRequest(inFlight, engine);
   }
 
-  function sendFlight(flight: Flight, engine: EngineModel): void {
-    const { request } = flight;
+  function sendRequest(inFlight: InFlightRequest, engine: EngineModel): void {
+    const { request } = inFlight;
     const sentAtMs = timeline.getNowMs();
-    views.addFlight(flight, engine.settings.name);
+    views.addRequest(inFlight, engine.settings.name);
     const cancel = engine.startStream({
-      promptTokens: request.promptTokens + flight.getEmitted(),
+      promptTokens: request.promptTokens + inFlight.countEmittedTokens(),
       sharedTokens: request.sharedTokens,
       prefixKey: request.prefixKey,
-      isContinuation: flight.getEmitted() > 0,
-      outputTokens: Math.max(1, request.outputTokens - flight.getEmitted()),
-      onFirstToken: () => handleFirstToken(flight, engine, sentAtMs),
-      onEnd: (meanGapMs) => handleEnd(flight, engine, meanGapMs),
-      onLost: (generated) => handleLost(flight, engine, generated),
+      isContinuation: inFlight.countEmittedTokens() > 0,
+      outputTokens: Math.max(1, request.outputTokens - inFlight.countEmittedTokens()),
+      onFirstToken: () => handleFirstToken(inFlight, engine, sentAtMs),
+      onEnd: (meanGapMs) => handleEnd(inFlight, engine, meanGapMs),
+      onLost: (generatedTokens) => handleLost(inFlight, engine, generatedTokens),
     });
-    flight.recordSent(cancel);
+    inFlight.recordAttempt(cancel);
   }
 
-  function handleFirstToken(flight: Flight, engine: EngineModel, sentAtMs: number): void {
+  function handleFirstToken(
+    inFlight: InFlightRequest,
+    engine: EngineModel,
+    sentAtMs: number,
+  ): void {
     const nowMs = timeline.getNowMs();
     policy.detector?.recordFirstToken(engine.settings.name, nowMs - sentAtMs, nowMs);
-    if (!flight.hasFirstToken() && flight.permit !== undefined) {
-      policy.admission?.recordFirstToken(flight.permit, nowMs - sentAtMs, nowMs);
+    if (!inFlight.hasFirstToken() && inFlight.permit !== undefined) {
+      policy.admission?.recordFirstToken(inFlight.permit, nowMs - sentAtMs, nowMs);
     }
-    flight.recordFirstToken(nowMs);
+    inFlight.recordFirstToken(nowMs);
   }
 
-  function handleEnd(flight: Flight, engine: EngineModel, meanGapMs: number): void {
+  function handleEnd(inFlight: InFlightRequest, engine: EngineModel, meanGapMs: number): void {
     const nowMs = timeline.getNowMs();
     policy.detector?.recordSuccess(engine.settings.name, nowMs);
     policy.recordEnd?.(engine.settings.name, nowMs);
-    ledger.recordFinished(flight.getFinished(meanGapMs, nowMs));
-    flight.closeFlight();
-    options.onOver(flight, flight.request.outputTokens);
+    metrics.recordFinished(inFlight.buildFinished(meanGapMs, nowMs));
+    inFlight.close();
+    options.onRequestEnd(inFlight, inFlight.request.outputTokens);
   }
 
-  function handleLost(flight: Flight, engine: EngineModel, generated: number): void {
-    if (flight.isOver()) return;
+  function handleLost(
+    inFlight: InFlightRequest,
+    engine: EngineModel,
+    generatedTokens: number,
+  ): void {
+    if (inFlight.hasEnded()) return;
     const nowMs = timeline.getNowMs();
-    views.removeFlight(flight);
-    flight.excluded.add(engine.settings.name);
-    flight.recordLost(generated, engine.settings.gapMs, nowMs);
-    const redoneTokens = flight.request.promptTokens + flight.getEmitted();
-    if (generated > 0) ledger.recordWaste(redoneTokens, nowMs);
-    const noticedAtMs = generated > 0 ? nowMs + NOTICED_MS : nowMs;
-    timeline.addEvent(noticedAtMs, () => continueFlight(flight, engine.settings.name));
+    views.removeRequest(inFlight);
+    inFlight.excludedEngines.add(engine.settings.name);
+    inFlight.recordLoss(generatedTokens, engine.settings.gapMs, nowMs);
+    const recomputedTokens = inFlight.request.promptTokens + inFlight.countEmittedTokens();
+    if (generatedTokens > 0) metrics.recordWastedTokens(recomputedTokens, nowMs);
+    const detectedAtMs = generatedTokens > 0 ? nowMs + BREAK_DETECTION_DELAY_MS : nowMs;
+    timeline.addEvent(detectedAtMs, () => continueRequest(inFlight, engine.settings.name));
   }
 
-  function continueFlight(flight: Flight, lostTarget: string): void {
+  function continueRequest(inFlight: InFlightRequest, failedTarget: string): void {
     const nowMs = timeline.getNowMs();
-    policy.detector?.recordFailure(lostTarget, nowMs);
-    if (flight.isOver()) return;
-    const isAllowed = flight.getEmitted() > 0 || (policy.budget?.takeRetry(nowMs) ?? true);
-    if (flight.getAttempts() >= MAX_ATTEMPTS || !isAllowed) {
-      ledger.recordFailed(flight.request);
-      flight.closeFlight();
-      options.onOver(flight, flight.getEmitted());
-    } else if (flight.getEmitted() === 0) {
-      startFlight(flight);
+    policy.detector?.recordFailure(failedTarget, nowMs);
+    if (inFlight.hasEnded()) return;
+    const isAllowed =
+      inFlight.countEmittedTokens() > 0 || (policy.budget?.takeRetry(nowMs) ?? true);
+    if (inFlight.countAttempts() >= MAX_ATTEMPTS || !isAllowed) {
+      metrics.recordFailed(inFlight.request);
+      inFlight.close();
+      options.onRequestEnd(inFlight, inFlight.countEmittedTokens());
+    } else if (inFlight.countEmittedTokens() === 0) {
+      startRequest(inFlight);
     } else {
-      delayContinuation(flight, nowMs);
+      delayContinuation(inFlight, nowMs);
     }
   }
 
-  /** The target is only expected: it is chosen again at the start, by what is known then. */
-  function delayContinuation(flight: Flight, nowMs: number): void {
-    const expected = pickTarget(flight);
-    if (expected === undefined || policy.pacer === undefined) {
-      startFlight(flight);
+  /**
+   * Reserves a start time at the engine that would be chosen now. The engine is chosen again at that time,
+   * from the state known by then.
+   */
+  function delayContinuation(inFlight: InFlightRequest, nowMs: number): void {
+    const expectedEngine = chooseTarget(inFlight);
+    if (expectedEngine === undefined || policy.pacer === undefined) {
+      startRequest(inFlight);
       return;
     }
-    const { name } = expected.settings;
-    views.addFlight(flight, name);
-    const costTokens = flight.request.promptTokens + flight.getEmitted();
+    const { name } = expectedEngine.settings;
+    views.addRequest(inFlight, name);
+    const costTokens = inFlight.request.promptTokens + inFlight.countEmittedTokens();
     const { startAtMs } = policy.pacer.reserveStart(nowMs, name, costTokens);
-    timeline.addEvent(startAtMs, () => startFlight(flight));
+    timeline.addEvent(startAtMs, () => startRequest(inFlight));
   }
 
-  return { startFlight };
+  return { startRequest };
 }
--- a/packages/sequoiarill-decisions/src/simulation/inFlightRequest.ts
+++ b/packages/sequoiarill-decisions/src/simulation/inFlightRequest.ts
@@ -1,35 +1,38 @@
-/** One request on its way, over all engines that take part. */
+/** State of one in-flight request, over all engines that it is sent to. */
 import type { Permit } from '../admissionTypes';
-import type { Finished } from './simulationMetrics';
-import type { PlayRequest } from './requestGenerator';
+import type { FinishedRequest } from './simulationMetrics';
+import type { SimulatedRequest } from './requestGenerator';
 
-export interface Flight {
-  readonly request: PlayRequest;
+export interface InFlightRequest {
+  readonly request: SimulatedRequest;
   readonly permit: Permit | undefined;
-  /** Engines that failed it. */
-  readonly excluded: Set<string>;
-  readonly getEmitted: () => number;
-  readonly getAttempts: () => number;
+  /** Engines that failed this request. */
+  readonly excludedEngines: Set<string>;
+  readonly countEmittedTokens: () => number;
+  readonly countAttempts: () => number;
   readonly hasFirstToken: () => boolean;
-  readonly isOver: () => boolean;
-  readonly recordSent: (cancel: () => number) => void;
+  readonly hasEnded: () => boolean;
+  readonly recordAttempt: (cancel: () => number) => void;
   readonly recordFirstToken: (nowMs: number) => void;
-  readonly recordLost: (generated: number, gapMs: number, nowMs: number) => void;
-  readonly getFinished: (meanGapMs: number, nowMs: number) => Finished;
-  /** Ends it, at its engine as well; answers what that generated for nothing. */
-  readonly cancelFlight: () => number;
-  readonly closeFlight: () => void;
+  readonly recordLoss: (generatedTokens: number, gapMs: number, nowMs: number) => void;
+  readonly buildFinished: (meanGapMs: number, nowMs: number) => FinishedRequest;
+  /** Ends the request and cancels it at its engine; returns the number of tokens generated in vain. */
+  readonly cancel: () => number;
+  readonly close: () => void;
 }
 
-export function createFlight(request: PlayRequest, permit: Permit | undefined): Flight {
-  let emitted = 0;
+export function createInFlightRequest(
+  request: SimulatedRequest,
+  permit: Permit | undefined,
+): InFlightRequest {
+  let emittedTokens = 0;
   let attempts = 0;
   let decodedMs = 0;
   let firstTokenAtMs: number | undefined;
   let brokenAtMs: number | undefined;
   let longestPauseMs = 0;
-  let isOver = false;
-  let cancelSent: () => number = () => 0;
+  let hasEnded = false;
+  let cancelAttempt: () => number = () => 0;
 
   function recordFirstToken(nowMs: number): void {
     if (brokenAtMs !== undefined) longestPauseMs = Math.max(longestPauseMs, nowMs - brokenAtMs);
@@ -37,14 +40,14 @@
     firstTokenAtMs ??= nowMs;
   }
 
-  function recordLost(generated: number, gapMs: number, nowMs: number): void {
-    emitted += generated;
-    decodedMs += generated * gapMs;
-    if (emitted > 0) brokenAtMs ??= nowMs;
+  function recordLoss(generatedTokens: number, gapMs: number, nowMs: number): void {
+    emittedTokens += generatedTokens;
+    decodedMs += generatedTokens * gapMs;
+    if (emittedTokens > 0) brokenAtMs ??= nowMs;
   }
 
-  function getFinished(meanGapMs: number, nowMs: number): Finished {
-    const totalMs = decodedMs + meanGapMs * (request.outputTokens - emitted);
+  function buildFinished(meanGapMs: number, nowMs: number): FinishedRequest {
+    const totalMs = decodedMs + meanGapMs * (request.outputTokens - emittedTokens);
     return {
       request,
       firstTokenMs: (firstTokenAtMs ?? nowMs) - request.arrivedMs,
@@ -57,24 +60,24 @@
   return {
     request,
     permit,
-    excluded: new Set(),
-    getEmitted: () => emitted,
-    getAttempts: () => attempts,
+    excludedEngines: new Set(),
+    countEmittedTokens: () => emittedTokens,
+    countAttempts: () => attempts,
     hasFirstToken: () => firstTokenAtMs !== undefined,
-    isOver: () => isOver,
-    recordSent: (cancel) => {
+    hasEnded: () => hasEnded,
+    recordAttempt: (cancel) => {
       attempts += 1;
-      cancelSent = cancel;
+      cancelAttempt = cancel;
     },
     recordFirstToken,
-    recordLost,
-    getFinished,
-    cancelFlight: () => {
-      isOver = true;
-      return cancelSent();
+    recordLoss,
+    buildFinished,
+    cancel: () => {
+      hasEnded = true;
+      return cancelAttempt();
     },
-    closeFlight: () => {
-      isOver = true;
+    close: () => {
+      hasEnded = true;
     },
   };
 }
--- a/packages/sequoiarill-decisions/src/simulation/index.ts
+++ b/packages/sequoiarill-decisions/src/simulation/index.ts
@@ -1,4 +1,4 @@
-/** Played loads: a queueing model of engines and routers in virtual time, for tests and the bench. */
+/** Simulations of engines and routers under load in virtual time, for tests and benchmarks. */
 export * from './capacity';
 export * from './simulationMetrics';
 export * from './workloads';
--- a/packages/sequoiarill-decisions/src/simulation/loadReports.ts
+++ b/packages/sequoiarill-decisions/src/simulation/loadReports.ts
@@ -1,30 +1,30 @@
-/** Load reports of engines, as old as routers see them. */
+/** Load reports of engines, visible to routers after a delay. */
 import type { EngineModel, EngineReport } from './engineModel';
 import type { Workload } from './workloads';
 import type { Timeline } from './timeline';
 
-export interface Reports {
+export interface LoadReports {
   readonly getReport: (engine: string) => EngineReport | undefined;
 }
 
-export function createReports(
-  pattern: Workload,
+export function createLoadReports(
+  workload: Workload,
   engines: readonly EngineModel[],
   timeline: Timeline,
-): Reports {
-  const known = new Map<string, EngineReport>();
+): LoadReports {
+  const visibleReports = new Map<string, EngineReport>();
 
   function addReport(engine: EngineModel): void {
     const report = engine.getReport();
-    timeline.addEvent(timeline.getNowMs() + pattern.reportLagMs, () => {
-      known.set(engine.settings.name, report);
+    timeline.addEvent(timeline.getNowMs() + workload.reportLagMs, () => {
+      visibleReports.set(engine.settings.name, report);
     });
-    timeline.addEvent(timeline.getNowMs() + pattern.reportEveryMs, () => addReport(engine));
+    timeline.addEvent(timeline.getNowMs() + workload.reportIntervalMs, () => addReport(engine));
   }
 
   engines.forEach((engine, index) => {
-    const offsetMs = (pattern.reportEveryMs * index) / engines.length;
+    const offsetMs = (workload.reportIntervalMs * index) / engines.length;
     timeline.addEvent(offsetMs, () => addReport(engine));
   });
-  return { getReport: (engine) => known.get(engine) };
+  return { getReport: (engine) => visibleReports.get(engine) };
 }
--- a/packages/sequoiarill-decisions/src/simulation/policies.ts
+++ b/packages/sequoiarill-decisions/src/simulation/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that are played: ours, and what people use instead. */
+/** Policies to simulate: the one of this project, and common alternatives as baselines. */
 import * as Admission from '../admission';
 import type { Admission as AdmissionDecisions } from '../admissionTypes';
 import * as ConcurrencyLimit from '../concurrencyLimit';
@@ -8,9 +8,9 @@
 import * as RetryBudget from '../retryBudget';
 import * as TargetChooser from '../targetChooser';
 import type { ChoiceRequest } from '../targets';
-import { ENGINES, ROUTERS, SLOTS } from './workloads';
+import { ENGINE_COUNT, ROUTER_COUNT, SLOTS_PER_ENGINE } from './workloads';
 
-/** Everything one router decides with. Absent parts are not decided at all. */
+/** Components with which a router makes its decisions. A router without one of them skips that decision. */
 export interface RouterPolicy {
   readonly chooseTarget: (request: ChoiceRequest) => string | undefined;
   readonly recordEnd?: (target: string, nowMs: number) => void;
@@ -25,22 +25,22 @@
   readonly createPolicy: (nextRandom: () => number) => RouterPolicy;
 }
 
-function createPlayAdmission(nextRandom: () => number): AdmissionDecisions {
+function createSimulatedAdmission(nextRandom: () => number): AdmissionDecisions {
   return Admission.createAdmission({
     nextRandom,
     createLimit: () =>
       ConcurrencyLimit.createConcurrencyLimit({
-        initial: (ENGINES * SLOTS) / ROUTERS,
+        initial: (ENGINE_COUNT * SLOTS_PER_ENGINE) / ROUTER_COUNT,
         min: 4,
-        max: ENGINES * SLOTS,
+        max: ENGINE_COUNT * SLOTS_PER_ENGINE,
         targetMs: ConcurrencyLimit.DEFAULT_TARGET_MS,
       }),
   });
 }
 
-function createDecisions(nextRandom: () => number): Omit<RouterPolicy, 'chooseTarget'> {
+function createLoadControls(nextRandom: () => number): Omit<RouterPolicy, 'chooseTarget'> {
   return {
-    admission: createPlayAdmission(nextRandom),
+    admission: createSimulatedAdmission(nextRandom),
     detector: OutlierDetector.createOutlierDetector(),
     pacer: ContinuationPacer.createContinuationPacer(),
     budget: RetryBudget.createRetryBudget({ ratio: 0.2, minPerSecond: 5, burst: 50 }),
@@ -56,7 +56,7 @@
     ...(samples === undefined ? {} : { samples }),
   });
   return {
-    ...createDecisions(nextRandom),
+    ...createLoadControls(nextRandom),
     recordEnd: chooser.recordEnd,
     chooseTarget: (request) => {
       const choice = chooser.chooseTarget(request);
@@ -70,12 +70,12 @@
 }
 
 function createRoundRobin(): RouterPolicy {
-  let next = 0;
+  let nextIndex = 0;
   return {
     chooseTarget: (request) => {
       const names = listNames(request);
-      next += 1;
-      return names[next % names.length];
+      nextIndex += 1;
+      return names[nextIndex % names.length];
     },
   };
 }
@@ -89,39 +89,42 @@
   };
 }
 
-/** The least loaded by report, as the report stands; ties at random. */
+/** The target with the lowest reported load, however old the report; ties are broken at random. */
 function createLeastReported(nextRandom: () => number): RouterPolicy {
   return {
     chooseTarget: (request) => {
-      let best: string | undefined;
-      let bestLoad = Number.POSITIVE_INFINITY;
+      let leastLoaded: string | undefined;
+      let leastLoad = Number.POSITIVE_INFINITY;
       for (const view of request.candidates) {
         const load = (view.reportedRunning ?? 0) + (view.reportedWaiting ?? 0) + nextRandom();
-        if (!request.excluded.has(view.name) && load < bestLoad) {
-          best = view.name;
-          bestLoad = load;
+        if (!request.excluded.has(view.name) && load < leastLoad) {
+          leastLoaded = view.name;
+          leastLoad = load;
         }
       }
-      return best;
+      return leastLoaded;
     },
   };
 }
 
 export const OWN_POLICY: PolicyDefinition = { name: 'ours', createPolicy: createOwnPolicy };
 
-/** Choice of target alone, everything let in, as a balancer does it. */
+/** Target choice only, without admission control, as in a plain load balancer. */
 export const BASELINE_POLICIES: readonly PolicyDefinition[] = [
   { name: 'roundRobin', createPolicy: createRoundRobin },
   { name: 'random', createPolicy: createRandomChoice },
   { name: 'leastReported', createPolicy: createLeastReported },
 ];
 
-/** Our admission, outlier detection and pacing with another choice: what the choice itself gains. */
+/**
+ * The target choice of each baseline with this project's admission, outlier detection, pacing and retry
+ * budget, to measure the effect of the target choice alone.
+ */
 export const BASELINE_CHOICE_POLICIES: readonly PolicyDefinition[] = BASELINE_POLICIES.map(
   (baseline) => ({
     name: `ours+${baseline.name}`,
     createPolicy: (nextRandom) => ({
-      ...createDecisions(nextRandom),
+      ...createLoadControls(nextRandom),
       ...baseline.createPolicy(nextRandom),
     }),
   }),
--- a/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
+++ b/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
@@ -1,9 +1,9 @@
-/** The requests of a pattern: when they come, from whom, how long they are. */
+/** Generates the requests of a workload: arrival times, organisations and lengths. */
 import type { Workload } from './workloads';
-import { ROUTERS } from './workloads';
+import { ROUTER_COUNT } from './workloads';
 import * as Random from './random';
 
-export interface PlayRequest {
+export interface SimulatedRequest {
   readonly organisation: string;
   readonly weight: number;
   readonly router: number;
@@ -14,50 +14,50 @@
   readonly outputTokens: number;
 }
 
-/** Tokens: 500 a request at 7% long ones, as at the size to design for. */
-const SHORT_OUTPUT = 350;
-const LONG_OUTPUT = 2_500;
-const MIN_OUTPUT = 16;
-const SHARED_TOKENS = 600;
-const OWN_TOKENS = 300;
+/** Means. With 7% long requests they give 500 tokens a request, as the system is designed for. */
+const SHORT_OUTPUT_TOKENS = 350;
+const LONG_OUTPUT_TOKENS = 2_500;
+const MIN_OUTPUT_TOKENS = 16;
+const SHARED_PROMPT_TOKENS = 600;
+const UNIQUE_PROMPT_TOKENS = 300;
 
-export function computeMeanOutput(longShare: number): number {
-  return longShare * LONG_OUTPUT + (1 - longShare) * SHORT_OUTPUT;
+export function computeMeanOutputTokens(longShare: number): number {
+  return longShare * LONG_OUTPUT_TOKENS + (1 - longShare) * SHORT_OUTPUT_TOKENS;
 }
 
-function pickOutput(nextRandom: Random.NextRandom, longShare: number): number {
-  if (nextRandom() < longShare) return LONG_OUTPUT * (0.5 + nextRandom());
-  return Math.max(MIN_OUTPUT, SHORT_OUTPUT * 2 * nextRandom());
+function sampleOutputTokens(nextRandom: Random.NextRandom, longShare: number): number {
+  if (nextRandom() < longShare) return LONG_OUTPUT_TOKENS * (0.5 + nextRandom());
+  return Math.max(MIN_OUTPUT_TOKENS, SHORT_OUTPUT_TOKENS * 2 * nextRandom());
 }
 
-/** Prefix n is used 1/n as often as the first: the usual skew of prompts. */
+/** Zipf distribution, the usual skew of prompts: prefix n is used 1/n as often as the first. */
 function listPrefixWeights(count: number): readonly number[] {
   return Array.from({ length: count }, (_value, index) => 1 / (index + 1));
 }
 
-/** `requestsPerSecond` at a load of 1. Generated as asked for, in order of arrival. */
+/** Yields requests lazily, in order of arrival. `requestsPerSecond` is the rate at a load of 1. */
 export function* createRequests(
-  pattern: Workload,
+  workload: Workload,
   requestsPerSecond: number,
-): Generator<PlayRequest, void, void> {
-  const nextRandom = Random.createRandom(pattern.seed);
-  const demands = pattern.organisations.map((organisation) => organisation.demand);
-  const prefixWeights = listPrefixWeights(pattern.prefixes);
+): Generator<SimulatedRequest, void, void> {
+  const nextRandom = Random.createRandom(workload.seed);
+  const demands = workload.organisations.map((organisation) => organisation.demand);
+  const prefixWeights = listPrefixWeights(workload.prefixCount);
   let nowMs = 0;
-  while (nowMs < pattern.endMs) {
-    const perMs = (requestsPerSecond * pattern.getLoad(nowMs)) / 1000;
+  while (nowMs < workload.endMs) {
+    const perMs = (requestsPerSecond * workload.getLoad(nowMs)) / 1000;
     nowMs += Random.sampleExponential(nextRandom, 1 / perMs);
-    const organisation = pattern.organisations[Random.sampleWeightedIndex(nextRandom, demands)];
+    const organisation = workload.organisations[Random.sampleWeightedIndex(nextRandom, demands)];
     if (organisation !== undefined) {
       yield {
         organisation: organisation.name,
         weight: organisation.weight,
-        router: Math.floor(nextRandom() * ROUTERS),
+        router: Math.floor(nextRandom() * ROUTER_COUNT),
         arrivedMs: nowMs,
-        promptTokens: SHARED_TOKENS + Math.ceil(OWN_TOKENS * 2 * nextRandom()),
-        sharedTokens: SHARED_TOKENS,
+        promptTokens: SHARED_PROMPT_TOKENS + Math.ceil(UNIQUE_PROMPT_TOKENS * 2 * nextRandom()),
+        sharedTokens: SHARED_PROMPT_TOKENS,
         prefixKey: `prefix-${Random.sampleWeightedIndex(nextRandom, prefixWeights)}`,
-        outputTokens: Math.ceil(pickOutput(nextRandom, pattern.longShare)),
+        outputTokens: Math.ceil(sampleOutputTokens(nextRandom, workload.longOutputShare)),
       };
     }
   }
--- a/packages/sequoiarill-decisions/src/simulation/routerModel.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerModel.ts
@@ -1,19 +1,19 @@
-/** One router in virtual time: what it lets in, what waits, and what it measures, by its policy. */
+/** Model of one router in virtual time: admission, queueing and measurements, as its policy defines them. */
 import type { Permit, Ticket } from '../admissionTypes';
 import * as Dispatchers from './dispatcher';
 import type { EngineModel } from './engineModel';
-import * as Flights from './inFlightRequest';
-import type { Ledger } from './simulationMetrics';
+import * as InFlightRequests from './inFlightRequest';
+import type { SimulationMetrics } from './simulationMetrics';
 import type { RouterPolicy } from './policies';
-import type { Reports } from './loadReports';
+import type { LoadReports } from './loadReports';
 import * as RouterViews from './routerViews';
 import type { Timeline } from './timeline';
-import type { PlayRequest } from './requestGenerator';
+import type { SimulatedRequest } from './requestGenerator';
 
-/** A caller without a first token leaves after this time, milliseconds. */
-const PATIENCE_MS = 5_000;
-const UPDATE_CAPACITY_MS = 100;
-const SAMPLE_GAPS_MS = 500;
+/** A caller that has not received its first token by then cancels its request. */
+const FIRST_TOKEN_TIMEOUT_MS = 5_000;
+const CAPACITY_UPDATE_INTERVAL_MS = 100;
+const GAP_SAMPLE_INTERVAL_MS = 500;
 const MAX_OUTPUT_TOKENS = 8_000;
 const MODEL = 'model';
 const UNLIMITED = { tokensPerSecond: 1e12, concurrentRequests: 1e12 };
@@ -21,33 +21,37 @@
 export interface RouterOptions {
   readonly zone: string;
   readonly engines: readonly EngineModel[];
-  readonly reports: Reports;
+  readonly reports: LoadReports;
   readonly timeline: Timeline;
   readonly policy: RouterPolicy;
-  readonly ledger: Ledger;
+  readonly metrics: SimulationMetrics;
   readonly getFreeShare: () => number;
-  /** A caller that was refused or left without an answer. */
-  readonly onRefused: (request: PlayRequest) => void;
+  /** Called when a request is refused, or cancelled by its caller before the first token. */
+  readonly onRefused: (request: SimulatedRequest) => void;
 }
 
 export interface RouterModel {
-  readonly handleRequest: (request: PlayRequest) => void;
+  readonly handleRequest: (request: SimulatedRequest) => void;
 }
 
 export function createRouterModel(options: RouterOptions): RouterModel {
-  const { engines, timeline, policy, ledger } = options;
+  const { engines, timeline, policy, metrics } = options;
   const views = RouterViews.createRouterViews(options);
-  const waiting = new Map<Ticket, PlayRequest>();
-  const dispatcher = Dispatchers.createDispatcher({ ...options, views, onOver: handleOver });
+  const waiting = new Map<Ticket, SimulatedRequest>();
+  const dispatcher = Dispatchers.createDispatcher({
+    ...options,
+    views,
+    onRequestEnd: handleRequestEnd,
+  });
 
-  function handleRequest(request: PlayRequest): void {
+  function handleRequest(request: SimulatedRequest): void {
     policy.budget?.recordRequest(timeline.getNowMs());
     if (policy.admission === undefined) {
       startRequest(request, undefined);
       return;
     }
     const { organisation: name, weight, promptTokens } = request;
-    const answer = policy.admission.admitRequest(
+    const decision = policy.admission.admitRequest(
       {
         organisation: { name, weight, priority: 5, limits: UNLIMITED },
         model: MODEL,
@@ -56,21 +60,21 @@
       },
       timeline.getNowMs(),
     );
-    if (answer.kind === 'admitted') startRequest(request, answer.permit);
-    else if (answer.kind === 'refused') handleRefused(request);
-    else addWaiting(request, answer.ticket);
+    if (decision.kind === 'admitted') startRequest(request, decision.permit);
+    else if (decision.kind === 'refused') handleRefused(request);
+    else addToQueue(request, decision.ticket);
   }
 
-  function addWaiting(request: PlayRequest, ticket: Ticket): void {
+  function addToQueue(request: SimulatedRequest, ticket: Ticket): void {
     waiting.set(ticket, request);
     timeline.addEvent(ticket.deadlineMs, startWaiting);
     startWaiting();
   }
 
-  function handleRefused(request: PlayRequest): void {
+  function handleRefused(request: SimulatedRequest): void {
     const atMs = timeline.getNowMs();
     const waitedMs = atMs - request.arrivedMs;
-    ledger.recordRefused({ request, atMs, waitedMs, freeShare: options.getFreeShare() });
+    metrics.recordRefused({ request, atMs, waitedMs, freeShare: options.getFreeShare() });
     options.onRefused(request);
   }
 
@@ -85,48 +89,55 @@
     }
   }
 
-  function startRequest(request: PlayRequest, permit: Permit | undefined): void {
-    const flight = Flights.createFlight(request, permit);
-    timeline.addEvent(request.arrivedMs + PATIENCE_MS, () => {
-      if (!flight.hasFirstToken() && !flight.isOver()) handleAbandoned(flight);
+  function startRequest(request: SimulatedRequest, permit: Permit | undefined): void {
+    const inFlight = InFlightRequests.createInFlightRequest(request, permit);
+    timeline.addEvent(request.arrivedMs + FIRST_TOKEN_TIMEOUT_MS, () => {
+      if (!inFlight.hasFirstToken() && !inFlight.hasEnded()) handleAbandoned(inFlight);
     });
-    dispatcher.startFlight(flight);
+    dispatcher.startRequest(inFlight);
   }
 
-  function handleAbandoned(flight: Flights.Flight): void {
-    ledger.recordWaste(flight.cancelFlight(), timeline.getNowMs());
-    ledger.recordAbandoned(flight.request, PATIENCE_MS);
-    handleOver(flight, flight.getEmitted());
-    options.onRefused(flight.request);
+  function handleAbandoned(inFlight: InFlightRequests.InFlightRequest): void {
+    metrics.recordWastedTokens(inFlight.cancel(), timeline.getNowMs());
+    metrics.recordAbandoned(inFlight.request, FIRST_TOKEN_TIMEOUT_MS);
+    handleRequestEnd(inFlight, inFlight.countEmittedTokens());
+    options.onRefused(inFlight.request);
   }
 
-  function handleOver(flight: Flights.Flight, outputTokens: number): void {
-    views.removeFlight(flight);
-    if (flight.permit === undefined) return;
-    policy.admission?.releasePermit(flight.permit, { outputTokens }, timeline.getNowMs());
+  function handleRequestEnd(
+    inFlight: InFlightRequests.InFlightRequest,
+    outputTokens: number,
+  ): void {
+    views.removeRequest(inFlight);
+    if (inFlight.permit === undefined) return;
+    policy.admission?.releasePermit(inFlight.permit, { outputTokens }, timeline.getNowMs());
     startWaiting();
   }
 
   function recordGaps(): void {
     const nowMs = timeline.getNowMs();
     for (const engine of engines) {
-      const streams = views.getInFlight(engine.settings.name);
+      const streams = views.countInFlight(engine.settings.name);
       for (let count = 0; count < streams; count += 1) {
         policy.detector?.recordGap(engine.settings.name, engine.getGapMs(), nowMs);
       }
     }
-    timeline.addEvent(nowMs + SAMPLE_GAPS_MS, recordGaps);
+    timeline.addEvent(nowMs + GAP_SAMPLE_INTERVAL_MS, recordGaps);
   }
 
   function updateCapacity(): void {
     const usable = views
       .listViews()
       .filter((view) => view.state === 'healthy' || view.state === 'new');
-    const slots = usable.reduce((sum, view) => sum + view.slots * view.warmShare, 0);
-    const taken = usable.reduce((sum, view) => sum + (view.reportedRunning ?? 0), 0);
-    policy.admission?.setCapacity(MODEL, slots, taken / Math.max(1, slots));
+    const availableSlots = usable.reduce((sum, view) => sum + view.slots * view.warmShare, 0);
+    const runningStreams = usable.reduce((sum, view) => sum + (view.reportedRunning ?? 0), 0);
+    policy.admission?.setCapacity(
+      MODEL,
+      availableSlots,
+      runningStreams / Math.max(1, availableSlots),
+    );
     startWaiting();
-    timeline.addEvent(timeline.getNowMs() + UPDATE_CAPACITY_MS, updateCapacity);
+    timeline.addEvent(timeline.getNowMs() + CAPACITY_UPDATE_INTERVAL_MS, updateCapacity);
   }
 
   if (policy.admission !== undefined) timeline.addEvent(0, updateCapacity);
--- a/packages/sequoiarill-decisions/src/simulation/routerViews.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerViews.ts
@@ -1,48 +1,48 @@
-/** What one router knows of the engines: its own work there, and reports as old as they are. */
+/** One router's view of the engines: its own requests there, and load reports that arrive with a delay. */
 import type { OutlierDetector } from '../outlierTypes';
 import type { TargetView } from '../targets';
 import type { EngineModel } from './engineModel';
-import type { Reports } from './loadReports';
+import type { LoadReports } from './loadReports';
 import type { Timeline } from './timeline';
 
 export interface RouterViewsOptions {
   readonly engines: readonly EngineModel[];
-  readonly reports: Reports;
+  readonly reports: LoadReports;
   readonly timeline: Timeline;
   readonly policy: { readonly detector?: OutlierDetector };
 }
 
 export interface RouterViews {
   readonly listViews: () => readonly TargetView[];
-  readonly addFlight: (flight: object, engine: string) => void;
-  readonly removeFlight: (flight: object) => void;
-  readonly getInFlight: (engine: string) => number;
+  readonly addRequest: (request: object, engine: string) => void;
+  readonly removeRequest: (request: object) => void;
+  readonly countInFlight: (engine: string) => number;
 }
 
 export function createRouterViews(options: RouterViewsOptions): RouterViews {
   const { timeline } = options;
-  const engineByFlight = new Map<object, string>();
-  const inFlight = new Map<string, number>();
+  const engineByRequest = new Map<object, string>();
+  const inFlightByEngine = new Map<string, number>();
   const sentAtMs = new Map<string, readonly number[]>();
   const endedAtMs = new Map<string, readonly number[]>();
 
-  function addFlight(flight: object, engine: string): void {
-    removeFlight(flight);
-    engineByFlight.set(flight, engine);
-    inFlight.set(engine, getInFlight(engine) + 1);
+  function addRequest(request: object, engine: string): void {
+    removeRequest(request);
+    engineByRequest.set(request, engine);
+    inFlightByEngine.set(engine, countInFlight(engine) + 1);
     sentAtMs.set(engine, [...(sentAtMs.get(engine) ?? []), timeline.getNowMs()]);
   }
 
-  function removeFlight(flight: object): void {
-    const engine = engineByFlight.get(flight);
+  function removeRequest(request: object): void {
+    const engine = engineByRequest.get(request);
     if (engine === undefined) return;
-    engineByFlight.delete(flight);
-    inFlight.set(engine, getInFlight(engine) - 1);
+    engineByRequest.delete(request);
+    inFlightByEngine.set(engine, countInFlight(engine) - 1);
     endedAtMs.set(engine, [...(endedAtMs.get(engine) ?? []), timeline.getNowMs()]);
   }
 
-  function getInFlight(engine: string): number {
-    return inFlight.get(engine) ?? 0;
+  function countInFlight(engine: string): number {
+    return inFlightByEngine.get(engine) ?? 0;
   }
 
   function buildView(engine: EngineModel): TargetView {
@@ -63,7 +63,7 @@
       name,
       zone,
       slots,
-      inFlight: getInFlight(name),
+      inFlight: countInFlight(name),
       sentSinceReport: sent.length,
       endedSinceReport: ended.length,
       state: options.policy.detector?.getState(name, nowMs) ?? 'healthy',
@@ -74,13 +74,13 @@
 
   return {
     listViews: () => options.engines.map(buildView),
-    addFlight,
-    removeFlight,
-    getInFlight,
+    addRequest,
+    removeRequest,
+    countInFlight,
   };
 }
 
-/** Forgets what came before the report. */
+/** Drops the times up to the report and returns the later ones. */
 function selectAfter(
   timesByEngine: Map<string, readonly number[]>,
   engine: string,
--- a/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
+++ b/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
@@ -1,25 +1,25 @@
-/** Plays one pattern of load through one policy and sums up what callers got. */
+/** Simulates one workload under one policy and summarises what callers received. */
 import * as Capacity from './capacity';
 import type * as EngineModel from './engineModel';
-import * as Ledger from './simulationMetrics';
+import * as Metrics from './simulationMetrics';
 import * as Workloads from './workloads';
 import type { FaultEvent, Workload } from './workloads';
 import type { PolicyDefinition } from './policies';
 import * as Random from './random';
-import * as Reports from './loadReports';
+import * as LoadReports from './loadReports';
 import * as RouterModel from './routerModel';
 import * as Timelines from './timeline';
 import * as RequestGenerator from './requestGenerator';
 
-/** A refused caller who does not wait as it was told comes back after this time, milliseconds. */
-const IMPATIENT_MS = 200;
-/** Streams that began near the end are played out. */
-const PLAY_OUT_MS = 150_000;
+/** Delay after which a refused caller that ignores Retry-After retries. */
+const CLIENT_RETRY_DELAY_MS = 200;
+/** Time after the last arrival in which streams that are still running can finish. */
+const DRAIN_MS = 150_000;
 
 function applyFault(fault: FaultEvent, engines: readonly EngineModel.EngineModel[]): void {
   for (const index of fault.engines) {
     const engine = engines[index];
-    if (fault.kind === 'slow') engine?.setSlowness(Workloads.getSlowness());
+    if (fault.kind === 'slow') engine?.setSlowdown(Workloads.getSlowdownFactor());
     else if (fault.kind === 'failing') engine?.setFailing(true);
     else engine?.setDead(fault.kind === 'dead');
   }
@@ -28,58 +28,59 @@
 function computeFreeShare(engines: readonly EngineModel.EngineModel[]): number {
   const usable = engines.filter((engine) => engine.isUsable());
   const running = usable.reduce((sum, engine) => sum + engine.getReport().running, 0);
-  return 1 - running / Math.max(1, usable.length * Workloads.SLOTS);
+  return 1 - running / Math.max(1, usable.length * Workloads.SLOTS_PER_ENGINE);
 }
 
 export function simulateWorkload(
-  pattern: Workload,
+  workload: Workload,
   definition: PolicyDefinition,
-): Ledger.SimulationSummary {
+): Metrics.SimulationSummary {
   const timeline = Timelines.createTimeline();
-  const engines = Array.from({ length: Workloads.ENGINES }, (_value, index) =>
-    Capacity.createPlayEngine(index, timeline),
+  const engines = Array.from({ length: Workloads.ENGINE_COUNT }, (_value, index) =>
+    Capacity.createSimulatedEngine(index, timeline),
   );
-  const ledger = Ledger.createLedger(pattern);
-  const reports = Reports.createReports(pattern, engines, timeline);
-  const retries = new Map<string, number>();
+  const metrics = Metrics.createSimulationMetrics(workload);
+  const reports = LoadReports.createLoadReports(workload, engines, timeline);
+  const retryCounts = new Map<string, number>();
 
-  /** The same caller again, as a new request of its own. */
-  function handleRefused(request: RequestGenerator.PlayRequest): void {
+  /** Retries as the same caller, with a new request. */
+  function handleRefused(request: RequestGenerator.SimulatedRequest): void {
     const key = `${request.organisation} ${request.outputTokens} ${request.promptTokens}`;
-    const count = retries.get(key) ?? 0;
-    if (count >= pattern.callerRetries) return;
-    retries.set(key, count + 1);
-    const arrivedMs = timeline.getNowMs() + IMPATIENT_MS;
+    const count = retryCounts.get(key) ?? 0;
+    if (count >= workload.callerRetries) return;
+    retryCounts.set(key, count + 1);
+    const arrivedMs = timeline.getNowMs() + CLIENT_RETRY_DELAY_MS;
     timeline.addEvent(arrivedMs, () => sendRequest({ ...request, arrivedMs }));
   }
 
-  const routers = Array.from({ length: Workloads.ROUTERS }, (_value, index) =>
+  const routers = Array.from({ length: Workloads.ROUTER_COUNT }, (_value, index) =>
     RouterModel.createRouterModel({
-      zone: `zone-${index % Workloads.ZONES}`,
+      zone: `zone-${index % Workloads.ZONE_COUNT}`,
       engines,
       reports,
       timeline,
-      ledger,
-      policy: definition.createPolicy(Random.createRandom(pattern.seed + index + 1)),
+      metrics,
+      policy: definition.createPolicy(Random.createRandom(workload.seed + index + 1)),
       getFreeShare: () => computeFreeShare(engines),
       onRefused: handleRefused,
     }),
   );
 
-  function sendRequest(request: RequestGenerator.PlayRequest): void {
-    ledger.recordAsked(request);
+  function sendRequest(request: RequestGenerator.SimulatedRequest): void {
+    metrics.recordArrival(request);
     routers[request.router]?.handleRequest(request);
   }
 
-  const capacity = Capacity.measureCapacity(pattern);
-  const requestsPerSecond = capacity / RequestGenerator.computeMeanOutput(pattern.longShare);
-  pattern.faults.forEach((fault) =>
+  const capacity = Capacity.measureCapacity(workload);
+  const requestsPerSecond =
+    capacity / RequestGenerator.computeMeanOutputTokens(workload.longOutputShare);
+  workload.faults.forEach((fault) =>
     timeline.addEvent(fault.atMs, () => applyFault(fault, engines)),
   );
-  for (const request of RequestGenerator.createRequests(pattern, requestsPerSecond)) {
-    timeline.playUntil(request.arrivedMs);
+  for (const request of RequestGenerator.createRequests(workload, requestsPerSecond)) {
+    timeline.runUntil(request.arrivedMs);
     sendRequest(request);
   }
-  timeline.playUntil(pattern.endMs + PLAY_OUT_MS);
-  return ledger.getSummary(definition.name, capacity);
+  timeline.runUntil(workload.endMs + DRAIN_MS);
+  return metrics.getSummary(definition.name, capacity);
 }
--- a/packages/sequoiarill-decisions/src/simulation/simulationMetrics.ts
+++ b/packages/sequoiarill-decisions/src/simulation/simulationMetrics.ts
@@ -1,41 +1,44 @@
-/** What callers got in one played pattern, and what it says about the policy. */
+/** Metrics of one simulated run: what callers received, and how well the policy did. */
 import type { Workload } from './workloads';
-import type { PlayRequest } from './requestGenerator';
+import type { SimulatedRequest } from './requestGenerator';
 
-/** The bounds of a good answer, milliseconds. */
-export const FIRST_TOKEN_BOUND_MS = 1_000;
-export const GAP_BOUND_MS = 60;
-export const PAUSE_BOUND_MS = 3_000;
+/** Limits within which an answer counts as good. */
+export const MAX_FIRST_TOKEN_MS = 1_000;
+export const MAX_MEAN_GAP_MS = 60;
+export const MAX_PAUSE_MS = 3_000;
 
-export interface Finished {
-  readonly request: PlayRequest;
+export interface FinishedRequest {
+  readonly request: SimulatedRequest;
   readonly firstTokenMs: number;
   readonly meanGapMs: number;
-  /** Longest silence while the stream was continued elsewhere. */
+  /** Longest interruption while the stream was continued on another engine. */
   readonly longestPauseMs: number;
   readonly endedMs: number;
 }
 
-export interface Refusal {
-  readonly request: PlayRequest;
+export interface RefusedRequest {
+  readonly request: SimulatedRequest;
   readonly atMs: number;
   readonly waitedMs: number;
-  /** Part of the slots of usable engines that were free at that moment. */
+  /** Fraction of the usable engines' slots that were free at that time. */
   readonly freeShare: number;
 }
 
 export interface SimulationSummary {
   readonly policy: string;
   readonly pattern: string;
-  /** Tokens of good answers that ended in the judged time over what the engines can generate. */
+  /** Tokens of good answers that ended in the measured interval, as a share of capacity. */
   readonly goodputShare: number;
-  /** The same of requests that came in the judged time, over what they asked for or capacity. */
+  /**
+   * Tokens of good answers to requests that arrived in the measured interval, as a share of the tokens they
+   * requested or of capacity, whichever is lower.
+   */
   readonly goodputOfAsked: number;
   readonly p95FirstTokenMs: number;
   readonly p50FirstTokenMs: number;
-  /** Tokens served to the worst organisation over its max-min fair share. */
+  /** Lowest ratio of any organisation: tokens served to it over its max-min fairShares share. */
   readonly worstShare: number;
-  /** Generated for no good answer or prefilled again, over all generated. */
+  /** Tokens of answers that were not good, cancelled or prefilled again, as a share of all tokens. */
   readonly wastedShare: number;
   readonly longestPauseMs: number;
   readonly asked: number;
@@ -43,28 +46,28 @@
   readonly refused: number;
   /** Refused with at least a tenth of the usable slots free. */
   readonly refusedWrongly: number;
-  /** Refused after waiting, not at the door. */
+  /** Refused after waiting in the queue instead of on arrival. */
   readonly refusedLate: number;
   readonly abandoned: number;
   readonly failed: number;
 }
 
-export interface Ledger {
-  readonly recordAsked: (request: PlayRequest) => void;
-  readonly recordFinished: (finished: Finished) => void;
-  readonly recordRefused: (refusal: Refusal) => void;
-  readonly recordAbandoned: (request: PlayRequest, waitedMs: number) => void;
-  readonly recordFailed: (request: PlayRequest) => void;
-  readonly recordWaste: (tokens: number, atMs: number) => void;
+export interface SimulationMetrics {
+  readonly recordArrival: (request: SimulatedRequest) => void;
+  readonly recordFinished: (finished: FinishedRequest) => void;
+  readonly recordRefused: (refusal: RefusedRequest) => void;
+  readonly recordAbandoned: (request: SimulatedRequest, waitedMs: number) => void;
+  readonly recordFailed: (request: SimulatedRequest) => void;
+  readonly recordWastedTokens: (tokens: number, atMs: number) => void;
   readonly getSummary: (policy: string, capacityTokensPerSecond: number) => SimulationSummary;
 }
 
-/** Waiting is not late unless a caller could notice. */
-const NOTICED_MS = 50;
-const FREE_SHARE = 0.1;
+/** A refusal counts as late only after a wait that a caller could notice. */
+const NOTICEABLE_WAIT_MS = 50;
+const WRONG_REFUSAL_FREE_SHARE = 0.1;
 
-export function createLedger(pattern: Workload): Ledger {
-  const firstTokens: number[] = [];
+export function createSimulationMetrics(workload: Workload): SimulationMetrics {
+  const firstTokenTimesMs: number[] = [];
   const askedTokens = new Map<string, number>();
   const servedTokens = new Map<string, number>();
   const counts = {
@@ -80,61 +83,61 @@
   let wastedTokens = 0;
   let longestPauseMs = 0;
 
-  function isJudged(atMs: number): boolean {
-    return atMs >= pattern.judgedFromMs && atMs < pattern.endMs;
+  function isMeasured(atMs: number): boolean {
+    return atMs >= workload.measuredFromMs && atMs < workload.endMs;
   }
 
-  function recordAsked(request: PlayRequest): void {
-    if (!isJudged(request.arrivedMs)) return;
+  function recordAsked(request: SimulatedRequest): void {
+    if (!isMeasured(request.arrivedMs)) return;
     counts.asked += 1;
     addTokens(askedTokens, request.organisation, request.outputTokens);
   }
 
-  function recordFinished(finished: Finished): void {
+  function recordFinished(finished: FinishedRequest): void {
     const { request, firstTokenMs } = finished;
-    if (isJudged(request.arrivedMs)) {
-      firstTokens.push(firstTokenMs);
+    if (isMeasured(request.arrivedMs)) {
+      firstTokenTimesMs.push(firstTokenMs);
       counts.finished += 1;
       longestPauseMs = Math.max(longestPauseMs, finished.longestPauseMs);
       if (isGood(finished)) addTokens(servedTokens, request.organisation, request.outputTokens);
     }
-    if (!isJudged(finished.endedMs)) return;
+    if (!isMeasured(finished.endedMs)) return;
     if (isGood(finished)) goodTokens += request.outputTokens;
     else wastedTokens += request.outputTokens;
   }
 
-  function recordRefused(refusal: Refusal): void {
-    if (!isJudged(refusal.atMs)) return;
+  function recordRefused(refusal: RefusedRequest): void {
+    if (!isMeasured(refusal.atMs)) return;
     counts.refused += 1;
-    if (refusal.waitedMs > NOTICED_MS) counts.late += 1;
-    if (refusal.freeShare >= FREE_SHARE) counts.wrongly += 1;
+    if (refusal.waitedMs > NOTICEABLE_WAIT_MS) counts.late += 1;
+    if (refusal.freeShare >= WRONG_REFUSAL_FREE_SHARE) counts.wrongly += 1;
   }
 
-  function recordAbandoned(request: PlayRequest, waitedMs: number): void {
-    if (!isJudged(request.arrivedMs)) return;
+  function recordAbandoned(request: SimulatedRequest, waitedMs: number): void {
+    if (!isMeasured(request.arrivedMs)) return;
     counts.abandoned += 1;
-    firstTokens.push(waitedMs);
+    firstTokenTimesMs.push(waitedMs);
   }
 
-  function recordFailed(request: PlayRequest): void {
-    if (isJudged(request.arrivedMs)) counts.failed += 1;
+  function recordFailed(request: SimulatedRequest): void {
+    if (isMeasured(request.arrivedMs)) counts.failed += 1;
   }
 
   function recordWaste(tokens: number, atMs: number): void {
-    if (isJudged(atMs)) wastedTokens += tokens;
+    if (isMeasured(atMs)) wastedTokens += tokens;
   }
 
   function getSummary(policy: string, capacity: number): SimulationSummary {
-    const seconds = (pattern.endMs - pattern.judgedFromMs) / 1000;
+    const seconds = (workload.endMs - workload.measuredFromMs) / 1000;
     const possible = Math.min(computeSum(askedTokens), capacity * seconds);
     return {
       policy,
-      pattern: pattern.name,
+      pattern: workload.name,
       goodputShare: goodTokens / (capacity * seconds),
       goodputOfAsked: computeSum(servedTokens) / possible,
-      p95FirstTokenMs: Math.round(pickPercentile(firstTokens, 0.95)),
-      p50FirstTokenMs: Math.round(pickPercentile(firstTokens, 0.5)),
-      worstShare: computeWorstShare(pattern, askedTokens, servedTokens),
+      p95FirstTokenMs: Math.round(pickPercentile(firstTokenTimesMs, 0.95)),
+      p50FirstTokenMs: Math.round(pickPercentile(firstTokenTimesMs, 0.5)),
+      worstShare: computeWorstShare(workload, askedTokens, servedTokens),
       wastedShare: wastedTokens / Math.max(1, goodTokens + wastedTokens),
       longestPauseMs: Math.round(longestPauseMs),
       asked: counts.asked,
@@ -148,20 +151,20 @@
   }
 
   return {
-    recordAsked,
+    recordArrival: recordAsked,
     recordFinished,
     recordRefused,
     recordAbandoned,
     recordFailed,
-    recordWaste,
+    recordWastedTokens: recordWaste,
     getSummary,
   };
 }
 
-function isGood(finished: Finished): boolean {
-  if (finished.firstTokenMs > FIRST_TOKEN_BOUND_MS) return false;
-  if (finished.meanGapMs > GAP_BOUND_MS) return false;
-  return finished.longestPauseMs <= PAUSE_BOUND_MS;
+function isGood(finished: FinishedRequest): boolean {
+  if (finished.firstTokenMs > MAX_FIRST_TOKEN_MS) return false;
+  if (finished.meanGapMs > MAX_MEAN_GAP_MS) return false;
+  return finished.longestPauseMs <= MAX_PAUSE_MS;
 }
 
 function addTokens(tokensByName: Map<string, number>, name: string, tokens: number): void {
@@ -177,27 +180,31 @@
   return [...tokensByName.values()].reduce((sum, tokens) => sum + tokens, 0);
 }
 
-/** Max-min fairness: nobody gets more than it asked for, the rest is divided by weight. */
+/** Max-min fairness: no organisation gets more than it requested; the rest is divided by weight. */
 function computeWorstShare(
-  pattern: Workload,
+  workload: Workload,
   asked: ReadonlyMap<string, number>,
   served: ReadonlyMap<string, number>,
 ): number {
-  let left = computeSum(served);
-  let open = [...pattern.organisations];
-  const fair = new Map<string, number>();
-  while (open.length > 0) {
-    const weights = open.reduce((sum, { weight }) => sum + weight, 0);
-    const level = left / weights;
-    const full = open.filter(({ name, weight }) => (asked.get(name) ?? 0) <= level * weight);
-    const settled = full.length > 0 ? full : open;
+  let remaining = computeSum(served);
+  let unsettled = [...workload.organisations];
+  const fairShares = new Map<string, number>();
+  while (unsettled.length > 0) {
+    const weights = unsettled.reduce((sum, { weight }) => sum + weight, 0);
+    const level = remaining / weights;
+    const satisfied = unsettled.filter(
+      ({ name, weight }) => (asked.get(name) ?? 0) <= level * weight,
+    );
+    const settled = satisfied.length > 0 ? satisfied : unsettled;
     for (const { name, weight } of settled) {
-      const share = full.length > 0 ? (asked.get(name) ?? 0) : level * weight;
-      fair.set(name, share);
-      left -= share;
+      const share = satisfied.length > 0 ? (asked.get(name) ?? 0) : level * weight;
+      fairShares.set(name, share);
+      remaining -= share;
     }
-    open = open.filter((one) => !settled.includes(one));
+    unsettled = unsettled.filter((one) => !settled.includes(one));
   }
-  const ratios = [...fair].map(([name, share]) => (served.get(name) ?? 0) / Math.max(1, share));
+  const ratios = [...fairShares].map(
+    ([name, share]) => (served.get(name) ?? 0) / Math.max(1, share),
+  );
   return Math.min(...ratios);
 }
--- a/packages/sequoiarill-decisions/src/simulation/timeline.ts
+++ b/packages/sequoiarill-decisions/src/simulation/timeline.ts
@@ -1,30 +1,32 @@
-/** Virtual time: what happens, in order, without waiting. */
+/** Event queue in virtual time: runs scheduled events in order, without waiting. */
 import * as Heap from '../heap';
 
 export interface Timeline {
   readonly getNowMs: () => number;
   readonly addEvent: (atMs: number, action: () => void) => void;
-  /** Plays everything up to and including the time. */
-  readonly playUntil: (untilMs: number) => void;
+  /** Runs all events up to and including the given time. */
+  readonly runUntil: (untilMs: number) => void;
 }
 
-interface Event {
+interface ScheduledEvent {
   readonly atMs: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly action: () => void;
 }
 
-/** Events of one moment keep their order: a millisecond is divided by this many of them. */
-const ORDER_SCALE = 1e-9;
+/** Added to the sort key per event: events due at the same time run in the order they were added. */
+const SEQUENCE_OFFSET_MS = 1e-9;
 
 export function createTimeline(): Timeline {
-  const events = Heap.createHeap<Event>((event) => event.atMs + event.order * ORDER_SCALE);
+  const events = Heap.createHeap<ScheduledEvent>(
+    (event) => event.atMs + event.sequence * SEQUENCE_OFFSET_MS,
+  );
   let nowMs = 0;
-  let order = 0;
+  let lastSequence = 0;
 
   function addEvent(atMs: number, action: () => void): void {
-    order += 1;
-    events.addValue({ atMs: Math.max(nowMs, atMs), order, action });
+    lastSequence += 1;
+    events.addValue({ atMs: Math.max(nowMs, atMs), sequence: lastSequence, action });
   }
 
   function playUntil(untilMs: number): void {
@@ -38,5 +40,5 @@
     nowMs = untilMs;
   }
 
-  return { getNowMs: () => nowMs, addEvent, playUntil };
+  return { getNowMs: () => nowMs, addEvent, runUntil: playUntil };
 }
--- a/packages/sequoiarill-decisions/src/simulation/workloads.ts
+++ b/packages/sequoiarill-decisions/src/simulation/workloads.ts
@@ -1,70 +1,71 @@
-/** The patterns of load that policies are played through, all with the same engines and seeds. */
+/** Workloads that policies are simulated under, all with the same engines and seeds. */
 
-export interface PlayOrganisation {
+export interface SimulatedOrganisation {
   readonly name: string;
   readonly weight: number;
-  /** Part of the requests, relative to the others. */
+  /** Rate of requests relative to the other organisations. */
   readonly demand: number;
 }
 
 export interface FaultEvent {
   readonly atMs: number;
-  readonly kind: 'slow' | 'failing' | 'dead' | 'back';
-  /** Indices of the engines it strikes. */
+  readonly kind: 'slow' | 'failing' | 'dead' | 'recovered';
+  /** Indices of the affected engines. */
   readonly engines: readonly number[];
 }
 
 export interface Workload {
   readonly name: string;
   readonly seed: number;
-  readonly organisations: readonly PlayOrganisation[];
-  /** Load as a multiple of capacity at a time, milliseconds. */
+  readonly organisations: readonly SimulatedOrganisation[];
+  /** Load at the given time, as a multiple of capacity. */
   readonly getLoad: (nowMs: number) => number;
   readonly faults: readonly FaultEvent[];
-  /** Between reports of an engine, and the time until routers know them, milliseconds. */
-  readonly reportEveryMs: number;
+  /** Interval between load reports of an engine, milliseconds. */
+  readonly reportIntervalMs: number;
+  /** Delay until routers receive a load report, milliseconds. */
   readonly reportLagMs: number;
-  /** Part of the requests that are long. */
-  readonly longShare: number;
-  /** Different prompt prefixes in use; the few first ones take most of the requests. */
-  readonly prefixes: number;
-  /** Refused or abandoned callers come back at once, up to this many times. */
+  /** Fraction of the requests with a long output. */
+  readonly longOutputShare: number;
+  /** Number of distinct prompt prefixes; the first few make up most of the requests. */
+  readonly prefixCount: number;
+  /** Retries of a caller whose request was refused or timed out, without waiting for Retry-After. */
   readonly callerRetries: number;
-  /** Judged are requests and tokens from here to the end. */
-  readonly judgedFromMs: number;
+  /** Requests and tokens from this time to `endMs` are counted. */
+  readonly measuredFromMs: number;
   readonly endMs: number;
 }
 
-export const ENGINES = 16;
-export const SLOTS = 32;
-export const ROUTERS = 4;
-export const ZONES = 2;
-const SLOWNESS_OF_SLOW = 6;
+export const ENGINE_COUNT = 16;
+export const SLOTS_PER_ENGINE = 32;
+export const ROUTER_COUNT = 4;
+export const ZONE_COUNT = 2;
+const SLOWDOWN_FACTOR = 6;
 
-export function getSlowness(): number {
-  return SLOWNESS_OF_SLOW;
+export function getSlowdownFactor(): number {
+  return SLOWDOWN_FACTOR;
 }
 
-function listOrganisations(demands: readonly number[]): readonly PlayOrganisation[] {
+function listOrganisations(demands: readonly number[]): readonly SimulatedOrganisation[] {
   return demands.map((demand, index) => ({ name: `org-${index}`, weight: 1, demand }));
 }
 
-const EVEN = listOrganisations(new Array<number>(10).fill(1));
+const EVEN_DEMAND = listOrganisations(new Array<number>(10).fill(1));
 
 /** The first two send 70% of the requests. */
-const SKEWED = listOrganisations([35, 35, 4, 4, 4, 4, 4, 4, 3, 3]);
+const SKEWED_DEMAND = listOrganisations([35, 35, 4, 4, 4, 4, 4, 4, 3, 3]);
 
-const BASE: Omit<Workload, 'name'> = {
+const BASE_WORKLOAD: Omit<Workload, 'name'> = {
   seed: 20_261_202,
-  organisations: EVEN,
+  organisations: EVEN_DEMAND,
   getLoad: () => 0.7,
   faults: [],
-  reportEveryMs: 500,
+  reportIntervalMs: 500,
   reportLagMs: 500,
-  longShare: 0.07,
-  prefixes: 60,
+  longOutputShare: 0.07,
+  prefixCount: 60,
   callerRetries: 0,
-  judgedFromMs: 120_000,
+  measuredFromMs: 120_000,
   endMs: 360_000,
 };
 
@@ -72,42 +73,48 @@
   return Array.from({ length: to - from }, (_value, index) => from + index);
 }
 
-const BURST_AT_MS = 150_000;
-const BURST_MS = 5_000;
+const BURST_START_MS = 150_000;
+const BURST_DURATION_MS = 5_000;
 
 function getBurstLoad(nowMs: number): number {
-  const isBurst = nowMs >= BURST_AT_MS && nowMs < BURST_AT_MS + BURST_MS;
+  const isBurst = nowMs >= BURST_START_MS && nowMs < BURST_START_MS + BURST_DURATION_MS;
   return isBurst ? 6 : 0.6;
 }
 
 export const WORKLOADS: readonly Workload[] = [
-  { ...BASE, name: 'steady' },
-  { ...BASE, name: 'burst', getLoad: getBurstLoad },
-  { ...BASE, name: 'fewOrganisations', organisations: SKEWED, getLoad: () => 1.3 },
-  { ...BASE, name: 'fewPrompts', prefixes: 4, getLoad: () => 0.9 },
+  { ...BASE_WORKLOAD, name: 'steady' },
+  { ...BASE_WORKLOAD, name: 'burst', getLoad: getBurstLoad },
+  { ...BASE_WORKLOAD, name: 'fewOrganisations', organisations: SKEWED_DEMAND, getLoad: () => 1.3 },
+  { ...BASE_WORKLOAD, name: 'fewPrompts', prefixCount: 4, getLoad: () => 0.9 },
   {
-    ...BASE,
+    ...BASE_WORKLOAD,
     name: 'slowTarget',
     getLoad: () => 0.8,
     faults: [{ atMs: 130_000, kind: 'slow', engines: [3] }],
   },
   {
-    ...BASE,
+    ...BASE_WORKLOAD,
     name: 'failingFast',
     getLoad: () => 0.8,
     faults: [{ atMs: 130_000, kind: 'failing', engines: [3] }],
   },
-  { ...BASE, name: 'longAmongShort', longShare: 0.3, getLoad: () => 1.1 },
-  { ...BASE, name: 'saturation', getLoad: () => 1.5 },
+  { ...BASE_WORKLOAD, name: 'longAmongShort', longOutputShare: 0.3, getLoad: () => 1.1 },
+  { ...BASE_WORKLOAD, name: 'saturation', getLoad: () => 1.5 },
   {
-    ...BASE,
+    ...BASE_WORKLOAD,
     name: 'thirdLost',
     getLoad: () => 0.75,
     faults: [
       { atMs: 150_000, kind: 'dead', engines: listEngines(0, 5) },
-      { atMs: 210_000, kind: 'back', engines: listEngines(0, 5) },
+      { atMs: 210_000, kind: 'recovered', engines: listEngines(0, 5) },
     ],
   },
-  { ...BASE, name: 'staleReports', getLoad: () => 0.9, reportEveryMs: 2_000, reportLagMs: 3_000 },
-  { ...BASE, name: 'retryStorm', getLoad: () => 1.3, callerRetries: 4 },
+  {
+    ...BASE_WORKLOAD,
+    name: 'staleReports',
+    getLoad: () => 0.9,
+    reportIntervalMs: 2_000,
+    reportLagMs: 3_000,
+  },
+  { ...BASE_WORKLOAD, name: 'retryStorm', getLoad: () => 1.3, callerRetries: 4 },
 ];
