--- a/packages/sequoiarill-plugin-rollouts/src/rolloutState.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/localRolloutState.ts
@@ -3,7 +3,7 @@
 
 import * as AnswerTallies from './answerTallies';
 import type { RolloutView } from './rolloutViews';
-import * as ReportBooks from './reportBook';
+import * as ReportBooks from './reportRegistry';
 
 export interface RolloutMemory {
   readonly orderRevision: number;
--- a/packages/sequoiarill-plugin-rollouts/src/plugin.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/plugin.ts
@@ -10,9 +10,9 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import * as Judges from './judge';
+import * as Judges from './rolloutEvaluator';
 import * as RolloutRunners from './rolloutRunner';
-import * as RolloutStates from './rolloutState';
+import * as RolloutStates from './localRolloutState';
 import * as RolloutViews from './rolloutViews';
 import type { RolloutView } from './rolloutViews';
 import { settingsSchema } from './settings';
--- a/packages/sequoiarill-plugin-rollouts/src/judge.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
@@ -20,8 +20,8 @@
 import * as Events from './events';
 import * as RolloutRecords from './rolloutRecord';
 import type { RolloutRecord } from './rolloutRecord';
-import * as RolloutStates from './rolloutState';
-import type { RolloutMemory } from './rolloutState';
+import * as RolloutStates from './localRolloutState';
+import type { RolloutMemory } from './localRolloutState';
 import type { RolloutView, SeenOrder, SeenRecord } from './rolloutViews';
 
 export interface JudgeOptions {
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutRunner.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutRunner.ts
@@ -10,9 +10,9 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import type { createJudge } from './judge';
-import * as RolloutStates from './rolloutState';
-import type { RolloutMemory } from './rolloutState';
+import type { createJudge } from './rolloutEvaluator';
+import * as RolloutStates from './localRolloutState';
+import type { RolloutMemory } from './localRolloutState';
 import * as RolloutViews from './rolloutViews';
 import type { RolloutView } from './rolloutViews';
 
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/cases.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/cases.ts
@@ -1,5 +1,5 @@
 /** Roll-outs with kept seeds, over fleets of three sizes. */
-import type { RolloutCase } from './playedCase';
+import type { RolloutCase } from './rolloutCase';
 
 const PLAIN: RolloutCase = {
   name: 'plain',
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/playedFaults.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/faultInjection.ts
@@ -3,12 +3,12 @@
 import type { NextRandom } from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
-import type { PlayedFault, RolloutCase } from './playedCase';
-import type { PlayedFleet } from './playedFleet';
-import * as PlayedTraffics from './playedTraffic';
-import type { PlayedTraffic } from './playedTraffic';
-import * as Worlds from './world';
-import type { World } from './world';
+import type { PlayedFault, RolloutCase } from './rolloutCase';
+import type { PlayedFleet } from './simulatedFleet';
+import * as PlayedTraffics from './simulatedTraffic';
+import type { PlayedTraffic } from './simulatedTraffic';
+import * as Worlds from './simulatedEnvironment';
+import type { World } from './simulatedEnvironment';
 
 const GREY_SHARE = 0.25;
 const CUT_ZONE = 0;
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/simulateRollout.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulateRollout.ts
@@ -4,11 +4,11 @@
 import * as Play from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
-import type { RolloutCase, RolloutResult } from './playedCase';
-import * as PlayedFaults from './playedFaults';
-import * as PlayedFleets from './playedFleet';
-import * as PlayedTraffics from './playedTraffic';
-import * as Worlds from './world';
+import type { RolloutCase, RolloutResult } from './rolloutCase';
+import * as PlayedFaults from './faultInjection';
+import * as PlayedFleets from './simulatedFleet';
+import * as PlayedTraffics from './simulatedTraffic';
+import * as Worlds from './simulatedEnvironment';
 
 /** Load after the time limit, milliseconds. */
 const AFTER_MS = 6_000;
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/playedFleet.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedFleet.ts
@@ -3,8 +3,8 @@
 import type { Capabilities, CapabilityName, ForwardingTarget, Rollouts } from '@sequoiarill/types';
 
 import * as RolloutsPlugin from '../plugin';
-import type { RouterNode, World } from './world';
-import * as Worlds from './world';
+import type { RouterNode, World } from './simulatedEnvironment';
+import * as Worlds from './simulatedEnvironment';
 
 export interface PlayedRouter {
   readonly node: RouterNode;
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/playedTraffic.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedTraffic.ts
@@ -2,9 +2,9 @@
 import type { NextRandom } from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget, VersionAttemptResult } from '@sequoiarill/types';
 
-import type { RolloutCase } from './playedCase';
-import type { PlayedFleet, PlayedRouter } from './playedFleet';
-import type { World } from './world';
+import type { RolloutCase } from './rolloutCase';
+import type { PlayedFleet, PlayedRouter } from './simulatedFleet';
+import type { World } from './simulatedEnvironment';
 
 export const OLD = 'v1';
 export const NEW = 'v2';
