--- a/packages/sequoiarill-plugin-rollouts/src/__tests__/rolloutViews.test.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/__tests__/rolloutViews.test.ts
@@ -52,7 +52,7 @@
   return { key: `${RECORD_PREFIX}${SERVICE}`, value, revision: orderRevision + 1 };
 }
 
-/** What a router that has just started makes of the store. */
+/** Finds the split that a router derives from the store when it starts. */
 function findSplit(entries: readonly StoredEntry[]) {
   const views = RolloutViews.createRolloutViews({
     directory: {
@@ -70,7 +70,7 @@
 }
 
 describe('a router that joins a roll-out', () => {
-  it('joins in the phase that the store names, and never goes back from its end', () => {
+  it('starts in the phase that is stored, and leaves a final phase unchanged', () => {
     const phases: readonly RolloutRecord['phase'][] = [
       'canary',
       'trial',
@@ -84,23 +84,23 @@
     }
   });
 
-  it('takes an order that nobody has taken up for one, from the version in service', () => {
+  it('treats an order without a stored state as ordered, starting from the version in service', () => {
     expect(findSplit([createOrder('v2', 5)])).toEqual(['ordered', 'v1', 'v2']);
   });
 
-  it('begins anew with another order, from what the last one came to', () => {
+  it('starts a new order from the result of the previous one', () => {
     const afterRollback = [createOrder('v2', 9), createRecord('rolledBack', 5)];
     expect(findSplit(afterRollback)).toEqual(['ordered', 'v1', 'v2']);
     const afterCompletion = [createOrder('v3', 9), createRecord('completed', 5)];
     expect(findSplit(afterCompletion)).toEqual(['ordered', 'v2', 'v3']);
   });
 
-  it('risks nothing more when the order was withdrawn, and keeps what was completed', () => {
+  it('rolls back when an unfinished order was withdrawn, and keeps a completed roll-out', () => {
     expect(findSplit([createRecord('canary', 5)])).toEqual(['rolledBack', 'v1', 'v2']);
     expect(findSplit([createRecord('completed', 5)])).toEqual(['completed', 'v1', 'v2']);
   });
 
-  it('does nothing for an order that cannot be read', () => {
+  it('ignores an order that cannot be read', () => {
     expect(findSplit([createOrder('', 5)])).toEqual(undefined);
   });
 });
--- a/packages/sequoiarill-plugin-rollouts/src/answerTallies.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/answerTallies.ts
@@ -1,17 +1,20 @@
-/** What this router saw of both versions since an order. */
+/** Counts the answers of both versions on this router since an order. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { VersionAttemptResult, VersionAttempt, VersionCounts } from '@sequoiarill/types';
 
 export interface AnswerTallies {
-  /** `isFresh`: to the version that the service is to move to. Gives what is to be called at the end. */
+  /**
+   * `isNewVersion`: whether the attempt goes to the version that the service moves to. Returns a function to
+   * be called with the result of the attempt.
+   */
   readonly recordSend: (
-    send: VersionAttempt,
-    isFresh: boolean,
-  ) => (end: VersionAttemptResult) => void;
+    attempt: VersionAttempt,
+    isNewVersion: boolean,
+  ) => (result: VersionAttemptResult) => void;
   readonly list: () => readonly VersionCounts[];
 }
 
-interface Waiting {
+interface PendingRequest {
   readonly startedMs: number;
   readonly objectiveMs: number;
 }
@@ -21,51 +24,51 @@
   readonly target?: string;
   failures: number;
   readonly byLatency: number[];
-  readonly waiting: Set<Waiting>;
+  readonly waiting: Set<PendingRequest>;
 }
 
-function createCounts(): number[] {
+function createLatencyCounts(): number[] {
   return Array.from({ length: Decisions.LATENCY_CLASSES }, () => 0);
 }
 
 export function createAnswerTallies(getNowMs: () => number): AnswerTallies {
   const tallies = new Map<string, Tally>();
 
-  function getTally({ route, target }: VersionAttempt, isFresh: boolean): Tally {
-    const key = JSON.stringify(isFresh ? [route, target.id] : [route]);
-    const known = tallies.get(key);
-    if (known !== undefined) return known;
-    const created = {
+  function getTally({ route, target }: VersionAttempt, isNewVersion: boolean): Tally {
+    const key = JSON.stringify(isNewVersion ? [route, target.id] : [route]);
+    const existing = tallies.get(key);
+    if (existing !== undefined) return existing;
+    const tally = {
       route,
       failures: 0,
-      byLatency: createCounts(),
-      waiting: new Set<Waiting>(),
-      ...(isFresh ? { target: target.id } : {}),
+      byLatency: createLatencyCounts(),
+      waiting: new Set<PendingRequest>(),
+      ...(isNewVersion ? { target: target.id } : {}),
     };
-    tallies.set(key, created);
-    return created;
+    tallies.set(key, tally);
+    return tally;
   }
 
-  function addClass(counts: number[], { startedMs, objectiveMs }: Waiting): void {
+  function countLatency(counts: number[], { startedMs, objectiveMs }: PendingRequest): void {
     const latencyClass = Decisions.computeLatencyClass(getNowMs() - startedMs, objectiveMs);
     counts[latencyClass] = (counts[latencyClass] ?? 0) + 1;
   }
 
   return {
-    recordSend(send, isFresh) {
-      const tally = getTally(send, isFresh);
-      const waiting = { startedMs: getNowMs(), objectiveMs: send.objectiveMs };
-      tally.waiting.add(waiting);
-      return (end) => {
-        if (!tally.waiting.delete(waiting)) return;
-        if (end === 'failed') tally.failures += 1;
-        else if (end === 'answered') addClass(tally.byLatency, waiting);
+    recordSend(attempt, isNewVersion) {
+      const tally = getTally(attempt, isNewVersion);
+      const pending = { startedMs: getNowMs(), objectiveMs: attempt.objectiveMs };
+      tally.waiting.add(pending);
+      return (result) => {
+        if (!tally.waiting.delete(pending)) return;
+        if (result === 'failed') tally.failures += 1;
+        else if (result === 'answered') countLatency(tally.byLatency, pending);
       };
     },
     list: () =>
       [...tallies.values()].map(({ waiting, ...tally }) => {
-        const counts = createCounts();
-        waiting.forEach((one) => addClass(counts, one));
+        const counts = createLatencyCounts();
+        waiting.forEach((one) => countLatency(counts, one));
         return { ...tally, byLatency: [...tally.byLatency], waiting: counts };
       }),
   };
--- a/packages/sequoiarill-plugin-rollouts/src/localRolloutState.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/localRolloutState.ts
@@ -1,59 +1,60 @@
-/** What one router holds in memory of one order: what it saw, what others told, and what it must not do. */
+/** In-memory state of one roll-out order on one router: its answer counts, reports and guidance received. */
 import type { RolloutGuidance } from '@sequoiarill/types';
 
 import * as AnswerTallies from './answerTallies';
 import type { RolloutView } from './rolloutViews';
-import * as ReportBooks from './reportRegistry';
+import * as ReportRegistries from './reportRegistry';
 
-export interface RolloutMemory {
+export interface LocalRolloutState {
   readonly orderRevision: number;
   readonly tallies: AnswerTallies.AnswerTallies;
-  readonly reports: ReportBooks.ReportBook;
-  /** The version is bad, and gets nothing more whatever the store says. */
+  readonly reports: ReportRegistries.ReportRegistry;
+  /** The version is bad and gets no more requests, whatever the state in the store. */
   isHalted: boolean;
+  /** Ids of targets of the new version that get no requests. */
   avoided: ReadonlySet<string>;
-  /** Longest time since the order that anybody told, and when; milliseconds. */
+  /** Longest time since the order that any router reported, and when it was reported; milliseconds. */
   elapsed: { readonly ms: number; readonly atMs: number };
 }
 
-/** One memory for each service: an order forgets what was seen of the one before. */
-export function createRolloutMemories(getNowMs: () => number) {
-  const memories = new Map<string, RolloutMemory>();
+/** Holds one state per service; a new order replaces the state of the previous one. */
+export function createLocalRolloutStates(getNowMs: () => number) {
+  const states = new Map<string, LocalRolloutState>();
 
-  function createMemory(orderRevision: number, seenAtMs: number): RolloutMemory {
+  function createState(orderRevision: number, readAtMs: number): LocalRolloutState {
     return {
       orderRevision,
       tallies: AnswerTallies.createAnswerTallies(getNowMs),
-      reports: ReportBooks.createReportBook(getNowMs),
+      reports: ReportRegistries.createReportRegistry(getNowMs),
       isHalted: false,
       avoided: new Set(),
-      elapsed: { ms: 0, atMs: seenAtMs },
+      elapsed: { ms: 0, atMs: readAtMs },
     };
   }
 
   return {
-    /** Undefined where there is no order. */
-    get({ service, order }: Pick<RolloutView, 'service' | 'order'>): RolloutMemory | undefined {
+    /** Returns undefined if the service has no order. */
+    get({ service, order }: Pick<RolloutView, 'service' | 'order'>): LocalRolloutState | undefined {
       if (order === undefined) return undefined;
-      const known = memories.get(service);
-      if (known?.orderRevision === order.revision) return known;
-      const created = createMemory(order.revision, order.seenAtMs);
-      memories.set(service, created);
-      return created;
+      const existing = states.get(service);
+      if (existing?.orderRevision === order.revision) return existing;
+      const state = createState(order.revision, order.readAtMs);
+      states.set(service, state);
+      return state;
     },
   };
 }
 
-export function recordElapsed(memory: RolloutMemory, ms: number, nowMs: number): void {
-  if (ms > computeElapsed(memory, nowMs)) memory.elapsed = { ms, atMs: nowMs };
+export function recordElapsed(localState: LocalRolloutState, ms: number, nowMs: number): void {
+  if (ms > computeElapsed(localState, nowMs)) localState.elapsed = { ms, atMs: nowMs };
 }
 
-export function computeElapsed({ elapsed }: RolloutMemory, nowMs: number): number {
+export function computeElapsed({ elapsed }: LocalRolloutState, nowMs: number): number {
   return elapsed.ms + nowMs - elapsed.atMs;
 }
 
 export function buildGuidance(
-  { isHalted, avoided }: RolloutMemory,
+  { isHalted, avoided }: LocalRolloutState,
   record: { readonly revision: number; readonly value: string } | undefined,
 ): RolloutGuidance {
   const guidance = { isHalted, avoided: [...avoided] };
--- a/packages/sequoiarill-plugin-rollouts/src/plugin.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in `rollouts`: which versions of a service requests may go to. */
+/** Plug-in `rollouts`: decides which versions of a service get requests. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { DecideRolloutStep, RolloutSplit } from '@sequoiarill/decisions';
 import type {
@@ -10,23 +10,23 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import * as Judges from './rolloutEvaluator';
+import * as RolloutEvaluators from './rolloutEvaluator';
 import * as RolloutRunners from './rolloutRunner';
-import * as RolloutStates from './localRolloutState';
+import * as LocalRolloutStates from './localRolloutState';
 import * as RolloutViews from './rolloutViews';
 import type { RolloutView } from './rolloutViews';
 import { settingsSchema } from './settings';
 import type { RolloutSettings } from './settings';
 
-/** Pause between two reports of a router, milliseconds: longer where one judge hears of many routers. */
-const MIN_INTERVAL_MS = 300;
-const MAX_INTERVAL_MS = 2_000;
-const INTERVAL_PER_ROUTER_MS = 5;
+/** Interval between two reports of a router; it grows with the number of routers per evaluator. */
+const MIN_REPORT_INTERVAL_MS = 300;
+const MAX_REPORT_INTERVAL_MS = 2_000;
+const REPORT_INTERVAL_PER_ROUTER_MS = 5;
 
-type Context = Pick<PluginContext, 'clock' | 'logEvent' | 'getCapability'>;
+type RolloutsContext = Pick<PluginContext, 'clock' | 'logEvent' | 'getCapability'>;
 
-/** Versions are not told apart where no roll-out can be ordered. */
-const ALL_VERSIONS: Rollouts = {
+/** Without roll-outs, all versions of a service get requests. */
+const DISABLED_ROLLOUTS: Rollouts = {
   selectTargets: (targets) => targets,
   isLeaving: () => false,
   recordSend: () => () => undefined,
@@ -34,7 +34,7 @@
 };
 
 export function createRollouts(
-  context: Context,
+  context: RolloutsContext,
   { canaryShare, canarySlack }: RolloutSettings & { readonly canaryShare: number },
   decideStep: DecideRolloutStep = Decisions.decideRolloutStep,
 ) {
@@ -43,7 +43,7 @@
   const directory = context.getCapability('directory');
   const peers = context.getCapability('peers');
   const recordPrefix = `${wire.ownPrefix}rollouts/`;
-  const memories = RolloutStates.createRolloutMemories(clock.getNowMs);
+  const localStates = LocalRolloutStates.createLocalRolloutStates(clock.getNowMs);
   const views = RolloutViews.createRolloutViews({
     directory,
     wire,
@@ -51,26 +51,26 @@
     getNowMs: clock.getNowMs,
     logEvent,
   });
-  const seenPhases = new Map<string, string>();
+  const loggedStates = new Map<string, string>();
   let getInFlight: (target: ForwardingTarget) => number = () => 0;
 
-  function getIntervalMs(): number {
-    const spread = directory.countRouters() * INTERVAL_PER_ROUTER_MS;
-    return Math.min(MAX_INTERVAL_MS, Math.max(MIN_INTERVAL_MS, spread));
+  function getReportIntervalMs(): number {
+    const intervalMs = directory.countRouters() * REPORT_INTERVAL_PER_ROUTER_MS;
+    return Math.min(MAX_REPORT_INTERVAL_MS, Math.max(MIN_REPORT_INTERVAL_MS, intervalMs));
   }
 
   /**
-   * What the store says, unless the version was found bad meanwhile. A router that the store does not
-   * reach cannot be told of that, so it risks nothing.
+   * Returns the split in the store, unless the version has been found bad since. A router without access to
+   * the store may not learn of that, so it sets the canary share to zero.
    */
   function getSplit(view: RolloutView): RolloutSplit {
-    const memory = memories.get(view);
+    const localState = localStates.get(view);
     const { split } = view;
-    if (memory?.isHalted === true && split.phase !== 'completed') {
+    if (localState?.isHalted === true && split.phase !== 'completed') {
       return { ...split, phase: 'rolledBack' };
     }
     const share = directory.isUpToDate() ? split.share : 0;
-    return { ...split, share, avoided: memory?.avoided ?? split.avoided };
+    return { ...split, share, avoided: localState?.avoided ?? split.avoided };
   }
 
   function isLeaving(target: ForwardingTarget): boolean {
@@ -95,18 +95,18 @@
       );
     },
     isLeaving,
-    recordSend(send) {
-      const view = views.get(send.target.service);
-      const isRunning = view !== undefined && !RolloutViews.isEnded(view.split.phase);
-      const memory = isRunning ? memories.get(view) : undefined;
-      const isFresh = send.target.version === view?.split.toVersion;
-      return memory?.tallies.recordSend(send, isFresh) ?? (() => undefined);
+    recordSend(attempt) {
+      const view = views.get(attempt.target.service);
+      const isRunning = view !== undefined && !RolloutViews.isFinalPhase(view.split.phase);
+      const localState = isRunning ? localStates.get(view) : undefined;
+      const isNewVersion = attempt.target.version === view?.split.toVersion;
+      return localState?.tallies.recordSend(attempt, isNewVersion) ?? (() => undefined);
     },
     setInFlightReader(reader) {
       getInFlight = reader;
     },
   };
-  const judge = Judges.createJudge({
+  const evaluator = RolloutEvaluators.createRolloutEvaluator({
     store: context.getCapability('keyValue'),
     directory,
     wire,
@@ -116,19 +116,19 @@
     limits: { canaryShare, canarySlack },
     decideStep,
     countRouters: directory.countRouters,
-    getIntervalMs,
+    getReportIntervalMs,
   });
   const runner = RolloutRunners.createRolloutRunner({
     views,
-    judge,
+    evaluator,
     peers,
     directory,
     recordPrefix,
     clock,
     logEvent,
-    getMemory: memories.get,
+    getLocalState: localStates.get,
     countLeaving,
-    getIntervalMs,
+    getReportIntervalMs,
   });
 
   function applyDirectory(): void {
@@ -137,16 +137,20 @@
       const { service, split, record, order } = view;
       const { phase, share, fromVersion, toVersion } = split;
       if (record !== undefined) {
-        const memory = memories.get(view);
+        const localState = localStates.get(view);
         const isOfOrder = record.orderRevision === order?.revision;
-        const sinceMs = clock.getNowMs() - record.seenAtMs;
-        if (memory !== undefined && isOfOrder) {
-          RolloutStates.recordElapsed(memory, record.elapsedMs + sinceMs, clock.getNowMs());
+        const sinceMs = clock.getNowMs() - record.readAtMs;
+        if (localState !== undefined && isOfOrder) {
+          LocalRolloutStates.recordElapsed(
+            localState,
+            record.elapsedMs + sinceMs,
+            clock.getNowMs(),
+          );
         }
       }
-      const seen = JSON.stringify([order?.revision, phase, share]);
-      if (seenPhases.get(service) !== seen) {
-        seenPhases.set(service, seen);
+      const logged = JSON.stringify([order?.revision, phase, share]);
+      if (loggedStates.get(service) !== logged) {
+        loggedStates.set(service, logged);
         logEvent(Events.PHASE_SEEN, {
           service,
           order: order?.revision,
@@ -165,7 +169,7 @@
 function createInstance(context: PluginContext, settings: RolloutSettings): PluginInstance {
   const { canaryShare } = settings;
   if (canaryShare === undefined) {
-    return { capabilities: { rollouts: ALL_VERSIONS }, dumpState: () => ({ isOn: false }) };
+    return { capabilities: { rollouts: DISABLED_ROLLOUTS }, dumpState: () => ({ isOn: false }) };
   }
   const { rollouts, runner, views, applyDirectory } = createRollouts(context, {
     ...settings,
--- a/packages/sequoiarill-plugin-rollouts/src/reportRegistry.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/reportRegistry.ts
@@ -1,40 +1,42 @@
-/** Reports of all routers on one roll-out, for the router that judges it. */
+/** Reports of all routers on one roll-out, for the router that evaluates it. */
 import type { RolloutReport, VersionCounts } from '@sequoiarill/types';
 
-export interface ReportBook {
-  /** Counts only rise while a router lives, so its latest report holds the earlier ones. */
+export interface ReportRegistry {
+  /** Replaces the router's previous report: its counts only grow while it runs. */
   readonly addReport: (report: RolloutReport) => void;
-  /** Of all routers that ever reported. */
+  /** Answer counts of all routers that ever reported. */
   readonly listTallies: () => readonly VersionCounts[];
-  /** Answers of both versions. */
+  /** Number of answers of both versions. */
   readonly countAnswers: () => number;
-  /** Reports that came since a moment, monotonic milliseconds. */
+  /** Reports received since the given time, monotonic milliseconds. */
   readonly listSince: (sinceMs: number) => readonly RolloutReport[];
 }
 
-interface Received {
+interface ReceivedReport {
   readonly report: RolloutReport;
   readonly atMs: number;
 }
 
-function countTally({ failures, byLatency }: VersionCounts): number {
+function countTallyAnswers({ failures, byLatency }: VersionCounts): number {
   return byLatency.reduce((sum, count) => sum + count, failures);
 }
 
-export function createReportBook(getNowMs: () => number): ReportBook {
-  const received = new Map<string, Received>();
+export function createReportRegistry(getNowMs: () => number): ReportRegistry {
+  const receivedByRouter = new Map<string, ReceivedReport>();
 
   function listTallies(): readonly VersionCounts[] {
-    return [...received.values()].flatMap(({ report }) => report.tallies);
+    return [...receivedByRouter.values()].flatMap(({ report }) => report.tallies);
   }
 
   return {
     addReport(report) {
-      received.set(report.router, { report, atMs: getNowMs() });
+      receivedByRouter.set(report.router, { report, atMs: getNowMs() });
     },
     listTallies,
-    countAnswers: () => listTallies().reduce((sum, tally) => sum + countTally(tally), 0),
+    countAnswers: () => listTallies().reduce((sum, tally) => sum + countTallyAnswers(tally), 0),
     listSince: (sinceMs) =>
-      [...received.values()].filter(({ atMs }) => atMs >= sinceMs).map(({ report }) => report),
+      [...receivedByRouter.values()]
+        .filter(({ atMs }) => atMs >= sinceMs)
+        .map(({ report }) => report),
   };
 }
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
@@ -1,8 +1,9 @@
 /**
- * Decides a roll-out for all routers and writes what was decided.
+ * Evaluates a roll-out for all routers and writes its next step to the store.
  *
- * Nobody is elected: every router can judge, the first in rank that answers does, and the store takes one
- * step once, since each is written on condition of the one before and of the order that it answers.
+ * There is no leader election. Every router can evaluate, and the first reachable one in rank order does. A
+ * step is written on condition that the order and the previous state in the store are unchanged, so two
+ * routers that evaluate at the same time cannot both write it.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type { DecideRolloutStep, RolloutLimits, RolloutStep } from '@sequoiarill/decisions';
@@ -20,11 +21,11 @@
 import * as Events from './events';
 import * as RolloutRecords from './rolloutRecord';
 import type { RolloutRecord } from './rolloutRecord';
-import * as RolloutStates from './localRolloutState';
-import type { RolloutMemory } from './localRolloutState';
-import type { RolloutView, SeenOrder, SeenRecord } from './rolloutViews';
+import * as LocalRolloutStates from './localRolloutState';
+import type { LocalRolloutState } from './localRolloutState';
+import type { RolloutView, ObservedOrder, ObservedRecord } from './rolloutViews';
 
-export interface JudgeOptions {
+export interface RolloutEvaluatorOptions {
   readonly store: Pick<KeyValueStore, 'writeTransaction'>;
   readonly directory: Pick<Directory, 'getConfiguration' | 'listTargets' | 'recordEntry'>;
   readonly wire: ForwardingWire;
@@ -34,37 +35,40 @@
   readonly limits: RolloutLimits;
   readonly decideStep: DecideRolloutStep;
   readonly countRouters: () => number;
-  /** Pause between two reports of a router, milliseconds. */
-  readonly getIntervalMs: () => number;
+  /** Interval between two reports of a router, milliseconds. */
+  readonly getReportIntervalMs: () => number;
 }
 
-/** A router that has not reported for so many intervals is not counted. */
-const FRESH_INTERVALS = 3;
-/** Share of the known routers whose reports a step forward needs: of two judges, one has it at most. */
-const QUORUM = 0.5;
+/** Report intervals after which a router without a new report no longer counts towards the quorum. */
+const RECENT_REPORT_INTERVALS = 3;
+/**
+ * A step forward needs recent reports from more than this share of the known routers, so that of two
+ * evaluators at most one can take it.
+ */
+const QUORUM_SHARE = 0.5;
 
 function formatState(phase: RolloutPhase): RolloutStatus['state'] {
   return phase === 'completed' || phase === 'rolledBack' ? phase : 'inProgress';
 }
 
-export function createJudge(options: JudgeOptions) {
+export function createRolloutEvaluator(options: RolloutEvaluatorOptions) {
   const { store, directory, wire, clock, logEvent } = options;
-  /** Revisions that the store named for states that are known here under another one. */
+  /** Revisions of states in the store that this router had recorded under another revision. */
   const storedRevisions = new Map<string, { readonly known: number; readonly stored: number }>();
 
-  function getStoredRevision(key: string, record: SeenRecord | undefined): number {
+  function getStoredRevision(key: string, record: ObservedRecord | undefined): number {
     const known = record?.revision ?? 0;
     const other = storedRevisions.get(key);
     return other?.known === known ? other.stored : known;
   }
 
   /**
-   * Failure: a store that numbers each key of a transaction names the last number only; the state is then
-   * known under a number that it does not have, and every further step is refused.
+   * Failure: a store that gives each key of a transaction its own revision returns only the last one. The
+   * state is then recorded under a wrong revision, and the store refuses every further step.
    */
   function recordConflict(
     key: string,
-    record: SeenRecord | undefined,
+    record: ObservedRecord | undefined,
     current: readonly KeyValueEntry[],
   ): void {
     const entry = current.find((one) => one.key === key);
@@ -74,48 +78,50 @@
     } else directory.recordEntry(entry);
   }
 
-  function checkTargets({ service, split }: RolloutView, memory: RolloutMemory) {
+  function checkNewTargets({ service, split }: RolloutView, localState: LocalRolloutState) {
     const targets = directory
       .listTargets(service)
       .filter(({ version, state }) => version === split.toVersion && state === 'ready');
-    const judgement = Decisions.checkVersion(memory.reports.listTallies(), targets.length);
-    memory.avoided = new Set([...memory.avoided, ...judgement.avoided]);
-    return { judgement, targetCount: targets.length };
+    const assessment = Decisions.checkVersion(localState.reports.listTallies(), targets.length);
+    localState.avoided = new Set([...localState.avoided, ...assessment.avoided]);
+    return { assessment, targetCount: targets.length };
   }
 
-  function createSituation(view: RolloutView, order: SeenOrder, memory: RolloutMemory) {
+  function buildSituation(view: RolloutView, order: ObservedOrder, localState: LocalRolloutState) {
     const { service, split, record } = view;
     const nowMs = clock.getNowMs();
-    const fresh = memory.reports.listSince(nowMs - FRESH_INTERVALS * options.getIntervalMs());
-    const { judgement, targetCount } = checkTargets(view, memory);
+    const recentReports = localState.reports.listSince(
+      nowMs - RECENT_REPORT_INTERVALS * options.getReportIntervalMs(),
+    );
+    const { assessment, targetCount } = checkNewTargets(view, localState);
     const engine = directory.getConfiguration()?.services.get(service)?.engine;
     return {
       phase: split.phase,
       share: split.share,
-      elapsedMs: RolloutStates.computeElapsed(memory, nowMs),
-      phaseMs: nowMs - (record?.seenAtMs ?? nowMs),
+      elapsedMs: LocalRolloutStates.computeElapsed(localState, nowMs),
+      phaseMs: nowMs - (record?.readAtMs ?? nowMs),
       durationMs: order.durationMs,
       isInService: split.fromVersion === split.toVersion,
-      judgement: memory.isHalted ? { ...judgement, verdict: 'bad' as const } : judgement,
+      judgement: localState.isHalted ? { ...assessment, verdict: 'bad' as const } : assessment,
       targetCount,
-      requests: memory.reports.countAnswers(),
-      leaving: fresh.reduce((sum, { leaving }) => sum + leaving, 0),
+      requests: localState.reports.countAnswers(),
+      leaving: recentReports.reduce((sum, { leaving }) => sum + leaving, 0),
       canHandOver: engine?.hasBackups === true,
-      intervalMs: options.getIntervalMs(),
-      isQuorate: fresh.length > options.countRouters() * QUORUM,
+      intervalMs: options.getReportIntervalMs(),
+      isQuorate: recentReports.length > options.countRouters() * QUORUM_SHARE,
     };
   }
 
   async function writeStep(
     view: RolloutView,
-    order: SeenOrder,
+    order: ObservedOrder,
     step: RolloutStep,
     elapsedMs: number,
   ): Promise<string | undefined> {
     const { service, split } = view;
     const { fromVersion, toVersion } = split;
     const { phase, share, reason } = step;
-    if (phase === 'ordered') return 'a roll-out never goes back to its order';
+    if (phase === 'ordered') return 'a roll-out cannot return to the phase ordered';
     const record: RolloutRecord = {
       orderRevision: order.revision,
       fromVersion,
@@ -140,23 +146,23 @@
     });
     if (written.kind === 'conflict') {
       recordConflict(key, view.record, written.current);
-      return 'another router was first';
+      return 'another router wrote a step first';
     }
     if (written.kind !== 'written') return written.message;
     directory.recordEntry({ key, revision: written.revision, value });
     return undefined;
   }
 
-  /** Reports must have been taken in before. */
-  async function runStep(view: RolloutView, memory: RolloutMemory): Promise<void> {
+  /** The caller adds the received reports to the local state first. */
+  async function runStep(view: RolloutView, localState: LocalRolloutState): Promise<void> {
     const { service, order, split } = view;
     if (order === undefined) return;
-    const situation = createSituation(view, order, memory);
+    const situation = buildSituation(view, order, localState);
     const step = options.decideStep(situation, options.limits);
     if (step === undefined) return;
-    const { judgement, elapsedMs, leaving, requests } = situation;
-    if (step.phase === 'rolledBack' && !memory.isHalted) {
-      memory.isHalted = true;
+    const { judgement: assessment, elapsedMs, leaving, requests } = situation;
+    if (step.phase === 'rolledBack' && !localState.isHalted) {
+      localState.isHalted = true;
       logEvent(Events.HALTED, { service, toVersion: split.toVersion, reason: step.reason });
     }
     const failure = await writeStep(view, order, step, elapsedMs);
@@ -167,9 +173,9 @@
       phase: step.phase,
       share: step.share,
       reason: step.reason,
-      verdict: judgement.verdict,
-      answers: judgement.answers,
-      badAnswers: judgement.badAnswers,
+      verdict: assessment.verdict,
+      answers: assessment.answers,
+      badAnswers: assessment.badAnswers,
       requests,
       leaving,
       elapsedMs: Math.round(elapsedMs),
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutRecord.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutRecord.ts
@@ -1,14 +1,14 @@
-/** The state of a roll-out as routers keep it in the store, so that any of them can go on with it. */
+/** State of a roll-out in the store, from which any router can continue it. */
 import * as Zod from 'zod';
 
 const recordSchema = Zod.object({
-  /** Revision of the order that it answers. */
+  /** Revision of the order that the roll-out carries out. */
   orderRevision: Zod.number().int(),
   fromVersion: Zod.string(),
   toVersion: Zod.string(),
   phase: Zod.enum(['canary', 'trial', 'moving', 'completed', 'rolledBack']),
   share: Zod.number().min(0).max(1),
-  /** From the order to this record, milliseconds. */
+  /** Time from the order to this record, milliseconds. */
   elapsedMs: Zod.number().min(0),
   reason: Zod.string(),
 });
@@ -28,7 +28,7 @@
   return orderRevision === right.orderRevision && phase === right.phase && share === right.share;
 }
 
-/** Undefined for what no router wrote. */
+/** Returns undefined for a text that is not a valid record. */
 export function decodeRecord(text: string): RolloutRecord | undefined {
   try {
     const parsed = recordSchema.safeParse(JSON.parse(text));
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutRunner.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutRunner.ts
@@ -1,4 +1,4 @@
-/** Reports what this router sees of each roll-out, and judges those for which it is the first in rank. */
+/** Reports this router's counts of each roll-out, and evaluates the roll-outs for which it ranks first. */
 import * as Decisions from '@sequoiarill/decisions';
 import type {
   Clock,
@@ -10,134 +10,134 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import type { createJudge } from './rolloutEvaluator';
-import * as RolloutStates from './localRolloutState';
-import type { RolloutMemory } from './localRolloutState';
+import type { createRolloutEvaluator } from './rolloutEvaluator';
+import * as LocalRolloutStates from './localRolloutState';
+import type { LocalRolloutState } from './localRolloutState';
 import * as RolloutViews from './rolloutViews';
 import type { RolloutView } from './rolloutViews';
 
 export interface RolloutRunnerOptions {
   readonly views: Pick<RolloutViews.RolloutViews, 'get' | 'list'>;
-  readonly judge: ReturnType<typeof createJudge>;
+  readonly evaluator: ReturnType<typeof createRolloutEvaluator>;
   readonly peers: Pick<RouterPeers, 'self' | 'listRouters' | 'sendReport'>;
   readonly directory: Pick<Directory, 'recordEntry' | 'listEntries' | 'subscribe'>;
   readonly recordPrefix: string;
   readonly clock: Clock;
   readonly logEvent: LogEvent;
-  readonly getMemory: (view: RolloutView) => RolloutMemory | undefined;
-  /** Requests in progress here at targets that get no new work. */
+  readonly getLocalState: (view: RolloutView) => LocalRolloutState | undefined;
+  /** In-flight requests of this router at targets that get no new ones. */
   readonly countLeaving: (view: RolloutView) => number;
-  readonly getIntervalMs: () => number;
+  readonly getReportIntervalMs: () => number;
 }
 
-/** Without an order there is nothing to do; the wait ends with the next one. Milliseconds. */
-const IDLE_MS = 3_600_000;
-/** A judge that did not answer is asked again after this, milliseconds. */
-const UNFIT_MS = 3_000;
-/** Pause between two looks of the router that judges at what others reported, milliseconds. */
-const JUDGE_MS = 200;
+/** Longest wait while there is no order; a new order ends it. */
+const IDLE_WAIT_MS = 3_600_000;
+/** Time for which a router that did not accept a report is not chosen as the evaluator. */
+const EVALUATOR_EXCLUSION_MS = 3_000;
+/** Pause of the evaluating router between two evaluations, and before a report that failed goes elsewhere. */
+const EVALUATION_INTERVAL_MS = 200;
 const NO_GUIDANCE: RolloutGuidance = { isHalted: false, avoided: [] };
 
 export function createRolloutRunner(options: RolloutRunnerOptions) {
-  const { views, judge, peers, directory, clock, logEvent } = options;
-  const unfitUntilMs = new Map<string, number>();
+  const { views, evaluator, peers, directory, clock, logEvent } = options;
+  const excludedUntilMs = new Map<string, number>();
 
-  function chooseJudge(service: string): string {
+  function chooseEvaluator(service: string): string {
     const nowMs = clock.getNowMs();
-    const known = new Set([...peers.listRouters().map(({ address }) => address), peers.self]);
-    const fit = [...known].filter(
-      (router) => router === peers.self || (unfitUntilMs.get(router) ?? nowMs) <= nowMs,
+    const routers = new Set([...peers.listRouters().map(({ address }) => address), peers.self]);
+    const candidates = [...routers].filter(
+      (router) => router === peers.self || (excludedUntilMs.get(router) ?? nowMs) <= nowMs,
     );
-    return Decisions.sortByRank(fit, service)[0] ?? peers.self;
+    return Decisions.sortByRank(candidates, service)[0] ?? peers.self;
   }
 
-  function buildReport(view: RolloutView, memory: RolloutMemory): RolloutReport {
+  function buildReport(view: RolloutView, localState: LocalRolloutState): RolloutReport {
     return {
       service: view.service,
-      orderRevision: memory.orderRevision,
+      orderRevision: localState.orderRevision,
       router: peers.self,
-      elapsedMs: RolloutStates.computeElapsed(memory, clock.getNowMs()),
+      elapsedMs: LocalRolloutStates.computeElapsed(localState, clock.getNowMs()),
       leaving: options.countLeaving(view),
-      tallies: memory.tallies.list(),
+      tallies: localState.tallies.list(),
     };
   }
 
-  function addReport(memory: RolloutMemory, report: RolloutReport): void {
-    memory.reports.addReport(report);
-    RolloutStates.recordElapsed(memory, report.elapsedMs, clock.getNowMs());
+  function addReport(localState: LocalRolloutState, report: RolloutReport): void {
+    localState.reports.addReport(report);
+    LocalRolloutStates.recordElapsed(localState, report.elapsedMs, clock.getNowMs());
   }
 
   function applyGuidance(
     { service, split }: RolloutView,
-    memory: RolloutMemory,
+    localState: LocalRolloutState,
     { isHalted, avoided, state }: RolloutGuidance,
   ): void {
-    if (isHalted && !memory.isHalted) {
-      memory.isHalted = true;
-      const reason = 'its judge says so';
+    if (isHalted && !localState.isHalted) {
+      localState.isHalted = true;
+      const reason = 'reported by the router that evaluates the roll-out';
       logEvent(Events.HALTED, { service, toVersion: split.toVersion, reason });
     }
-    memory.avoided = new Set([...memory.avoided, ...avoided]);
+    localState.avoided = new Set([...localState.avoided, ...avoided]);
     if (state !== undefined) {
       directory.recordEntry({ key: `${options.recordPrefix}${service}`, ...state });
     }
   }
 
-  /** Gives the time until the next round, milliseconds. */
+  /** Returns the time until the next round, milliseconds. */
   async function runRound(view: RolloutView): Promise<number> {
-    const memory = options.getMemory(view);
-    const pauseMs = options.getIntervalMs();
-    if (memory === undefined) return pauseMs;
-    const chosen = chooseJudge(view.service);
-    const report = buildReport(view, memory);
-    if (chosen === peers.self) {
-      addReport(memory, report);
-      await judge.runStep(view, memory);
-      return Math.min(pauseMs, JUDGE_MS);
+    const localState = options.getLocalState(view);
+    const pauseMs = options.getReportIntervalMs();
+    if (localState === undefined) return pauseMs;
+    const evaluatorAddress = chooseEvaluator(view.service);
+    const report = buildReport(view, localState);
+    if (evaluatorAddress === peers.self) {
+      addReport(localState, report);
+      await evaluator.runStep(view, localState);
+      return Math.min(pauseMs, EVALUATION_INTERVAL_MS);
     }
-    const outcome = await peers.sendReport(chosen, report);
+    const outcome = await peers.sendReport(evaluatorAddress, report);
     if (outcome.kind === 'guided') {
-      applyGuidance(view, memory, outcome.guidance);
+      applyGuidance(view, localState, outcome.guidance);
       return pauseMs;
     }
-    unfitUntilMs.set(chosen, clock.getNowMs() + UNFIT_MS);
+    excludedUntilMs.set(evaluatorAddress, clock.getNowMs() + EVALUATOR_EXCLUSION_MS);
     const { reason } = outcome;
-    logEvent(Events.REPORT_FAILED, { service: view.service, judge: chosen, reason });
-    return JUDGE_MS;
+    logEvent(Events.REPORT_FAILED, { service: view.service, judge: evaluatorAddress, reason });
+    return EVALUATION_INTERVAL_MS;
   }
 
-  function listActive(): readonly RolloutView[] {
+  function listActiveRollouts(): readonly RolloutView[] {
     return views
       .list()
-      .filter(({ order, split }) => order !== undefined && !RolloutViews.isEnded(split.phase));
+      .filter(({ order, split }) => order !== undefined && !RolloutViews.isFinalPhase(split.phase));
   }
 
   async function waitForOrder(signal: AbortSignal): Promise<void> {
-    const news = new AbortController();
-    const stop = () => news.abort();
-    signal.addEventListener('abort', stop, { once: true });
+    const wait = new AbortController();
+    const endWait = () => wait.abort();
+    signal.addEventListener('abort', endWait, { once: true });
     const unsubscribe = directory.subscribe(() => {
-      if (listActive().length > 0) news.abort();
+      if (listActiveRollouts().length > 0) wait.abort();
     });
-    await clock.waitMs(IDLE_MS, news.signal);
+    await clock.waitMs(IDLE_WAIT_MS, wait.signal);
     unsubscribe();
-    signal.removeEventListener('abort', stop);
+    signal.removeEventListener('abort', endWait);
   }
 
   return {
-    /** What a router that reports is told; nothing where its order is not known here. */
+    /** Returns the guidance for the reporting router; it is empty if its order is not known here. */
     handleReport(report: RolloutReport): RolloutGuidance {
       const view = views.get(report.service);
-      const memory = view === undefined ? undefined : options.getMemory(view);
-      if (memory === undefined || memory.orderRevision !== report.orderRevision) return NO_GUIDANCE;
-      addReport(memory, report);
+      const local = view === undefined ? undefined : options.getLocalState(view);
+      if (local === undefined || local.orderRevision !== report.orderRevision) return NO_GUIDANCE;
+      addReport(local, report);
       const key = `${options.recordPrefix}${report.service}`;
       const state = directory.listEntries(key).find((entry) => entry.key === key);
-      return RolloutStates.buildGuidance(memory, state);
+      return LocalRolloutStates.buildGuidance(local, state);
     },
     async run(signal: AbortSignal): Promise<void> {
       while (!signal.aborted) {
-        const active = listActive();
+        const active = listActiveRollouts();
         if (active.length === 0) await waitForOrder(signal);
         else {
           const pauses = await Promise.all(active.map(runRound));
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutViews.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutViews.ts
@@ -1,4 +1,4 @@
-/** What the directory tells of each service's roll-out: the order, its state, and the split that follows. */
+/** View of each service's roll-out from the directory: its order, its state and the resulting split. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { RolloutSplit } from '@sequoiarill/decisions';
 import type {
@@ -15,31 +15,31 @@
 import * as RolloutRecords from './rolloutRecord';
 import type { RolloutRecord } from './rolloutRecord';
 
-export interface SeenOrder extends RolloutOrder {
+export interface ObservedOrder extends RolloutOrder {
   readonly key: string;
   readonly revision: number;
-  /** Monotonic milliseconds. */
-  readonly seenAtMs: number;
+  /** Time at which this router read the entry, monotonic milliseconds. */
+  readonly readAtMs: number;
 }
 
-export interface SeenRecord extends RolloutRecord {
+export interface ObservedRecord extends RolloutRecord {
   readonly revision: number;
-  readonly seenAtMs: number;
+  readonly readAtMs: number;
 }
 
 export interface RolloutView {
   readonly service: string;
-  /** Undefined when the order was withdrawn. */
-  readonly order: SeenOrder | undefined;
-  /** Of this order or an earlier one. */
-  readonly record: SeenRecord | undefined;
+  /** Undefined if the order was withdrawn. */
+  readonly order: ObservedOrder | undefined;
+  /** State of this order or of an earlier one. */
+  readonly record: ObservedRecord | undefined;
   readonly split: RolloutSplit;
 }
 
 export interface RolloutViews {
   readonly get: (service: string) => RolloutView | undefined;
   readonly list: () => readonly RolloutView[];
-  /** Looks at the directory again. */
+  /** Rebuilds the views from the directory. */
   readonly update: () => void;
 }
 
@@ -51,13 +51,13 @@
   readonly logEvent: LogEvent;
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_TARGETS: ReadonlySet<string> = new Set();
 
-export function isEnded(phase: RolloutPhase): boolean {
+export function isFinalPhase(phase: RolloutPhase): boolean {
   return phase === 'completed' || phase === 'rolledBack';
 }
 
-function findServiceVersion(
+function findVersionInService(
   order: RolloutOrder,
   record: RolloutRecord | undefined,
   targets: readonly ForwardingTarget[],
@@ -68,40 +68,40 @@
   return record.phase === 'completed' ? record.toVersion : record.fromVersion;
 }
 
-function createSplit(
-  order: SeenOrder | undefined,
-  record: SeenRecord | undefined,
+function buildSplit(
+  order: ObservedOrder | undefined,
+  record: ObservedRecord | undefined,
   targets: readonly ForwardingTarget[],
 ): RolloutSplit | undefined {
-  const isAnswered = order === undefined || (record?.orderRevision ?? -1) >= order.revision;
-  if (record !== undefined && isAnswered) {
+  const isOrderHandled = order === undefined || (record?.orderRevision ?? -1) >= order.revision;
+  if (record !== undefined && isOrderHandled) {
     const { fromVersion, toVersion, share } = record;
-    // Withdrawn before its end: nothing more is risked.
-    const phase = order === undefined && !isEnded(record.phase) ? 'rolledBack' : record.phase;
-    return { phase, fromVersion, toVersion, share, avoided: NONE };
+    // The order was withdrawn before its end: the new version gets no more requests.
+    const phase = order === undefined && !isFinalPhase(record.phase) ? 'rolledBack' : record.phase;
+    return { phase, fromVersion, toVersion, share, avoided: NO_TARGETS };
   }
   if (order === undefined) return undefined;
   const { toVersion } = order;
-  const fromVersion = findServiceVersion(order, record, targets);
-  return { phase: 'ordered', fromVersion, toVersion, share: 0, avoided: NONE };
+  const fromVersion = findVersionInService(order, record, targets);
+  return { phase: 'ordered', fromVersion, toVersion, share: 0, avoided: NO_TARGETS };
 }
 
 export function createRolloutViews(options: RolloutViewsOptions): RolloutViews {
   const { directory, wire, recordPrefix, getNowMs, logEvent } = options;
-  const orders = new Map<string, SeenOrder>();
-  const records = new Map<string, SeenRecord>();
-  const refused = new Map<string, number>();
+  const orders = new Map<string, ObservedOrder>();
+  const records = new Map<string, ObservedRecord>();
+  const refusals = new Map<string, number>();
   let views: ReadonlyMap<string, RolloutView> = new Map();
 
   function applyOrder({ key, revision, value }: StoredEntry): void {
     const service = key.slice(wire.rolloutPrefix.length);
-    if (orders.get(service)?.revision === revision || refused.get(key) === revision) return;
+    if (orders.get(service)?.revision === revision || refusals.get(key) === revision) return;
     const decoded = wire.decodeRolloutOrder(value);
     if (decoded.kind === 'order') {
-      orders.set(service, { ...decoded.order, service, key, revision, seenAtMs: getNowMs() });
+      orders.set(service, { ...decoded.order, service, key, revision, readAtMs: getNowMs() });
       return;
     }
-    refused.set(key, revision);
+    refusals.set(key, revision);
     logEvent(Events.ORDER_REFUSED, { key, revision, reason: decoded.reason });
   }
 
@@ -109,13 +109,13 @@
     const service = key.slice(recordPrefix.length);
     if (records.get(service)?.revision === revision) return;
     const record = RolloutRecords.decodeRecord(value);
-    if (record !== undefined) records.set(service, { ...record, revision, seenAtMs: getNowMs() });
+    if (record !== undefined) records.set(service, { ...record, revision, readAtMs: getNowMs() });
   }
 
-  function createView(service: string): readonly [string, RolloutView] | undefined {
+  function buildView(service: string): readonly [string, RolloutView] | undefined {
     const order = orders.get(service);
     const record = records.get(service);
-    const split = createSplit(order, record, directory.listTargets(service));
+    const split = buildSplit(order, record, directory.listTargets(service));
     return split === undefined ? undefined : [service, { service, order, record, split }];
   }
 
@@ -126,12 +126,12 @@
       const stored = directory.listEntries(wire.rolloutPrefix);
       stored.forEach(applyOrder);
       directory.listEntries(recordPrefix).forEach(applyRecord);
-      const present = new Set(stored.map(({ key }) => key));
-      for (const [service, { key }] of orders) if (!present.has(key)) orders.delete(service);
+      const presentKeys = new Set(stored.map(({ key }) => key));
+      for (const [service, { key }] of orders) if (!presentKeys.has(key)) orders.delete(service);
       const services = new Set([...orders.keys(), ...records.keys()]);
       views = new Map(
         [...services].flatMap((service) => {
-          const view = createView(service);
+          const view = buildView(service);
           return view === undefined ? [] : [view];
         }),
       );
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/cases.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/cases.ts
@@ -1,17 +1,17 @@
-/** Roll-outs with kept seeds, over fleets of three sizes. */
+/** Simulated roll-outs with fixed seeds, over fleets of three sizes. */
 import type { RolloutCase } from './rolloutCase';
 
 const PLAIN: RolloutCase = {
   name: 'plain',
   routers: 80,
-  requestsPerS: 190,
+  requestsPerSecond: 190,
   routes: ['writes', 'reads'],
-  workMs: 60,
+  meanRequestMs: 60,
   canHandOver: false,
   oldTargets: 7,
   newTargets: 7,
   durationMs: 12_000,
-  usualFailures: 0.02,
+  baseFailureShare: 0.02,
   faults: [],
   seed: 1,
 };
@@ -19,9 +19,9 @@
 const STREAMS: RolloutCase = {
   ...PLAIN,
   name: 'streams',
-  requestsPerS: 28,
+  requestsPerSecond: 28,
   routes: ['first', 'second', 'third'],
-  workMs: 1_500,
+  meanRequestMs: 1_500,
   canHandOver: true,
   oldTargets: 126,
   newTargets: 126,
@@ -33,22 +33,22 @@
 export const CASES: readonly RolloutCase[] = [
   { ...PLAIN, name: 'sound, orders' },
   { ...STREAMS, name: 'sound, streams' },
-  { ...PLAIN, name: 'sound, 7 routers', routers: 7, requestsPerS: 50 },
+  { ...PLAIN, name: 'sound, 7 routers', routers: 7, requestsPerSecond: 50 },
   {
     ...PLAIN,
     name: 'sound, 300 routers',
     routers: 300,
-    requestsPerS: 600,
+    requestsPerSecond: 600,
     oldTargets: 21,
     newTargets: 21,
   },
   { ...PLAIN, name: 'fails at once', bad: FAILS },
-  { ...PLAIN, name: 'fails at once, 7 routers', routers: 7, requestsPerS: 50, bad: FAILS },
+  { ...PLAIN, name: 'fails at once, 7 routers', routers: 7, requestsPerSecond: 50, bad: FAILS },
   {
     ...PLAIN,
     name: 'fails at once, 300 routers',
     routers: 300,
-    requestsPerS: 600,
+    requestsPerSecond: 600,
     oldTargets: 21,
     newTargets: 21,
     bad: FAILS,
@@ -62,38 +62,42 @@
   {
     ...PLAIN,
     name: 'sound, store away',
-    faults: [{ kind: 'storeAway', atMs: 3_000, forMs: 4_000 }],
+    faults: [{ kind: 'storeUnavailable', atMs: 3_000, forMs: 4_000 }],
   },
   {
     ...PLAIN,
     name: 'sound, answers lost',
-    faults: [{ kind: 'answersLost', atMs: 0, forMs: 12_000 }],
+    faults: [{ kind: 'responsesLost', atMs: 0, forMs: 12_000 }],
+  },
+  {
+    ...PLAIN,
+    name: 'sound, zone cut',
+    faults: [{ kind: 'zoneIsolated', atMs: 4_000, forMs: 3_000 }],
   },
-  { ...PLAIN, name: 'sound, zone cut', faults: [{ kind: 'zoneCut', atMs: 4_000, forMs: 3_000 }] },
   {
     ...PLAIN,
     name: 'sound, writer dies',
     faults: [
-      { kind: 'killWriter', atMs: 2_000 },
-      { kind: 'killWriter', atMs: 8_500 },
+      { kind: 'writerCrash', atMs: 2_000 },
+      { kind: 'writerCrash', atMs: 8_500 },
     ],
   },
-  { ...PLAIN, name: 'sound, a new target crashes', faults: [{ kind: 'crashTarget', atMs: 3_000 }] },
+  { ...PLAIN, name: 'sound, a new target crashes', faults: [{ kind: 'targetCrash', atMs: 3_000 }] },
   {
     ...PLAIN,
     name: 'sound, a new target fails',
-    faults: [{ kind: 'greyTarget', atMs: 2_000, forMs: 5_000 }],
+    faults: [{ kind: 'targetFailing', atMs: 2_000, forMs: 5_000 }],
   },
   {
     ...PLAIN,
     name: 'sound, some of all fail',
-    faults: [{ kind: 'greyTargets', atMs: 3_000, forMs: 4_000 }],
+    faults: [{ kind: 'targetsFailing', atMs: 3_000, forMs: 4_000 }],
   },
   {
     ...PLAIN,
     name: 'fails, writer dies',
     bad: FAILS,
-    faults: [{ kind: 'killWriter', atMs: 1_500 }],
+    faults: [{ kind: 'writerCrash', atMs: 1_500 }],
   },
   {
     ...PLAIN,
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/faultInjection.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/faultInjection.ts
@@ -1,59 +1,63 @@
-/** Brings about the faults of a played roll-out. */
+/** Injects the faults of a simulated roll-out. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { NextRandom } from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
-import type { PlayedFault, RolloutCase } from './rolloutCase';
-import type { PlayedFleet } from './simulatedFleet';
-import * as PlayedTraffics from './simulatedTraffic';
-import type { PlayedTraffic } from './simulatedTraffic';
-import * as Worlds from './simulatedEnvironment';
-import type { World } from './simulatedEnvironment';
+import type { SimulatedFault, RolloutCase } from './rolloutCase';
+import type { SimulatedFleet } from './simulatedFleet';
+import * as SimulatedTraffics from './simulatedTraffic';
+import type { SimulatedTraffic } from './simulatedTraffic';
+import * as Environments from './simulatedEnvironment';
+import type { Environment } from './simulatedEnvironment';
 
-const GREY_SHARE = 0.25;
-const CUT_ZONE = 0;
+const FAILING_TARGETS_SHARE = 0.25;
+const ISOLATED_ZONE = 0;
 
-export interface FaultStage {
-  readonly played: RolloutCase;
-  readonly world: World;
-  readonly fleet: PlayedFleet;
-  readonly traffic: PlayedTraffic;
+export interface FaultContext {
+  readonly rolloutCase: RolloutCase;
+  readonly environment: Environment;
+  readonly fleet: SimulatedFleet;
+  readonly traffic: SimulatedTraffic;
   readonly nextRandom: NextRandom;
 }
 
-/** The new target that gets requests first. */
-function findCanary(world: World): ForwardingTarget | undefined {
-  const fresh = world.listTargets().filter(({ version }) => version === PlayedTraffics.NEW);
-  return Decisions.selectCanaries(fresh, { share: 0, avoided: new Set() })[0];
+/** Finds the new target that is the first to get requests. */
+function findCanary(environment: Environment): ForwardingTarget | undefined {
+  const newTargets = environment
+    .listTargets()
+    .filter(({ version }) => version === SimulatedTraffics.NEW);
+  return Decisions.selectCanaries(newTargets, { share: 0, avoided: new Set() })[0];
 }
 
-function applyLasting(
-  { world, traffic, nextRandom }: FaultStage,
-  fault: Extract<PlayedFault, { forMs: number }>,
+function injectLastingFault(
+  { environment, traffic, nextRandom }: FaultContext,
+  fault: Extract<SimulatedFault, { forMs: number }>,
   nowMs: number,
 ): void {
   const untilMs = nowMs + fault.forMs;
-  if (fault.kind === 'storeAway') world.setStoreAway(untilMs);
-  if (fault.kind === 'answersLost') world.setAnswersLost(untilMs);
-  if (fault.kind === 'zoneCut') world.setZoneCut(CUT_ZONE, untilMs);
-  const canary = findCanary(world);
-  if (fault.kind === 'greyTarget' && canary !== undefined) traffic.setGrey(canary, untilMs);
-  if (fault.kind === 'greyTargets') {
-    const some = world.listTargets().filter(() => nextRandom() < GREY_SHARE);
-    some.forEach((target) => traffic.setGrey(target, untilMs));
+  if (fault.kind === 'storeUnavailable') environment.setStoreUnavailable(untilMs);
+  if (fault.kind === 'responsesLost') environment.setResponsesLost(untilMs);
+  if (fault.kind === 'zoneIsolated') environment.setZoneIsolated(ISOLATED_ZONE, untilMs);
+  const canary = findCanary(environment);
+  if (fault.kind === 'targetFailing' && canary !== undefined) traffic.setFailing(canary, untilMs);
+  if (fault.kind === 'targetsFailing') {
+    const affectedTargets = environment
+      .listTargets()
+      .filter(() => nextRandom() < FAILING_TARGETS_SHARE);
+    affectedTargets.forEach((target) => traffic.setFailing(target, untilMs));
   }
 }
 
-export function applyFault(stage: FaultStage, fault: PlayedFault, nowMs: number): void {
-  const { played, world, fleet } = stage;
-  if ('forMs' in fault) applyLasting(stage, fault, nowMs);
+export function injectFault(context: FaultContext, fault: SimulatedFault, nowMs: number): void {
+  const { rolloutCase, environment, fleet } = context;
+  if ('forMs' in fault) injectLastingFault(context, fault, nowMs);
   else if (fault.kind === 'order') {
-    world.writeKey(Worlds.ORDER_KEY, `${fault.toVersion} ${played.durationMs}`);
-  } else if (fault.kind === 'killWriter') {
+    environment.writeKey(Environments.ORDER_KEY, `${fault.toVersion} ${rolloutCase.durationMs}`);
+  } else if (fault.kind === 'writerCrash') {
     const writer = fleet.routers.find(({ node }) => node.name === fleet.getLastWriter());
-    writer?.node.kill();
+    writer?.node.stop();
   } else {
-    const canary = findCanary(world);
-    world.setTargets(world.listTargets().filter((target) => target !== canary));
+    const canary = findCanary(environment);
+    environment.setTargets(environment.listTargets().filter((target) => target !== canary));
   }
 }
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/rolloutCase.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/rolloutCase.ts
@@ -1,72 +1,73 @@
-/** What is played of a roll-out, and what comes of it. */
+/** Parameters and result of a simulated roll-out. */
 
-/** How the new version is bad. */
+/** Defect of the new version. */
 export interface BadVersion {
-  /** Of its answers. */
+  /** Fraction of its answers that are affected. */
   readonly share: number;
   readonly how: 'fails' | 'slow';
-  /** From so long after the order on, milliseconds. */
+  /** Time after the order from which the defect shows, milliseconds. */
   readonly fromMs?: number;
-  /** Only at targets that are as busy as those of the old version usually are. */
+  /** The defect shows only at targets under the usual load of an old target. */
   readonly onlyUnderLoad?: boolean;
+  /** The defect shows only on this route. */
   readonly route?: string;
 }
 
-/** Milliseconds are counted from the order. */
-export type PlayedFault =
+/** Times are relative to the order. */
+export type SimulatedFault =
   | {
       readonly kind:
-        | 'storeAway'
-        /** Writes are done, and nobody is told. */
-        | 'answersLost'
-        | 'zoneCut'
-        /** One new target fails half of its answers. */
-        | 'greyTarget'
-        /** A quarter of all targets fails half of its answers. */
-        | 'greyTargets';
+        | 'storeUnavailable'
+        /** The store applies writes, but its responses are lost. */
+        | 'responsesLost'
+        | 'zoneIsolated'
+        /** One new target fails half of its requests. */
+        | 'targetFailing'
+        /** A quarter of all targets fail half of their requests. */
+        | 'targetsFailing';
       readonly atMs: number;
       readonly forMs: number;
     }
-  /** The router that wrote last dies, or a new target. */
-  | { readonly kind: 'killWriter' | 'crashTarget'; readonly atMs: number }
+  /** The router that wrote last crashes, or a new target does. */
+  | { readonly kind: 'writerCrash' | 'targetCrash'; readonly atMs: number }
   | { readonly kind: 'order'; readonly atMs: number; readonly toVersion: string };
 
 export interface RolloutCase {
   readonly name: string;
   readonly routers: number;
-  readonly requestsPerS: number;
+  readonly requestsPerSecond: number;
   readonly routes: readonly string[];
-  /** Mean time of one request at a target, milliseconds. */
-  readonly workMs: number;
+  /** Mean duration of one request at a target, milliseconds. */
+  readonly meanRequestMs: number;
   readonly canHandOver: boolean;
   readonly oldTargets: number;
   readonly newTargets: number;
   readonly durationMs: number;
   readonly bad?: BadVersion;
-  /** Share of all answers that fail whatever the version. */
-  readonly usualFailures: number;
-  readonly faults: readonly PlayedFault[];
+  /** Share of all requests that fail, whatever the version. */
+  readonly baseFailureShare: number;
+  readonly faults: readonly SimulatedFault[];
   readonly seed: number;
 }
 
 export interface RolloutResult {
   readonly name: string;
   readonly bad: boolean;
-  /** As operators are told. */
+  /** Final state in the status that operators read. */
   readonly state: string;
-  /** From the order to its time limit. */
+  /** Requests from the order to its time limit. */
   readonly requests: number;
-  /** Of them, those that the new version got. */
+  /** Those of `requests` that went to the new version. */
   readonly exposed: number;
-  /** Last request that a bad version got, after its 50th bad answer; milliseconds. */
+  /** Time from the 50th bad answer to the last request that the version got, milliseconds. */
   readonly afterRollbackMs: number;
-  /** Requests that were at targets of the old version when it stopped. */
+  /** In-flight requests that were lost when the targets of the old version stopped. */
   readonly cut: number;
   readonly withinDuration: boolean;
-  /** A sound version was rolled back. */
+  /** 1 if a sound version was rolled back. */
   readonly falseAlarms: number;
-  /** From the last order to the last word, milliseconds. */
+  /** Time from the last order to the final state, milliseconds. */
   readonly decidedMs: number;
-  /** The state never left its last word again, but for another order. */
+  /** The state did not change after a final one, except for another order. */
   readonly isFinal: boolean;
 }
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedEnvironment.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedEnvironment.ts
@@ -1,4 +1,4 @@
-/** A store, peers and targets in memory, as several routers meet them. */
+/** In-memory store, peers and targets for several simulated routers. */
 import * as Kernel from '@sequoiarill/kernel';
 import type {
   Directory,
@@ -17,11 +17,11 @@
 export const SERVICE = 'service';
 export const ORDER_KEY = `rollouts/${SERVICE}`;
 export const STATUS_KEY = `status/${SERVICE}`;
-/** Time until a router hears of a change, milliseconds: a reader's pause and a follower's. */
-const NEWS_MS = 700;
-/** A call that is not answered is given up, milliseconds. */
-const CALL_MS = 700;
-const PEER_MS = 3;
+/** Delay until a router learns of a change in the store: one pause of the zone reader, one of a follower. */
+const UPDATE_DELAY_MS = 700;
+/** Timeout of calls to the store and to peers. */
+const CALL_TIMEOUT_MS = 700;
+const CALL_LATENCY_MS = 3;
 
 export const WIRE: ForwardingWire = Kernel.createFakeWire({
   ownPrefix: 'own/',
@@ -37,30 +37,31 @@
 export interface RouterNode {
   readonly name: string;
   readonly zone: number;
-  /** Aborted when the router dies. */
-  readonly died: AbortSignal;
-  readonly kill: () => void;
+  /** Aborted when the router stops. */
+  readonly stopped: AbortSignal;
+  readonly stop: () => void;
   readonly directory: Directory;
   readonly peers: RouterPeers;
   readonly store: Pick<KeyValueStore, 'writeTransaction'>;
 }
 
-export interface World {
+export interface Environment {
   readonly clock: Kernel.FakeClock;
   readonly nodes: readonly RouterNode[];
   readonly setTargets: (targets: readonly ForwardingTarget[]) => void;
   readonly listTargets: () => readonly ForwardingTarget[];
-  /** As an operator, whom the store always answers. */
+  /** Writes as an operator: succeeds even while the store is unavailable to routers. */
   readonly writeKey: (key: string, value: string) => void;
   readonly getValue: (key: string) => string | undefined;
-  /** The store answers nobody until then. */
-  readonly setStoreAway: (untilMs: number) => void;
-  /** Writes are done and their answers lost until then. */
-  readonly setAnswersLost: (untilMs: number) => void;
-  readonly setZoneCut: (zone: number, untilMs: number) => void;
+  /** Makes the store unavailable to all routers until the given time. */
+  readonly setStoreUnavailable: (untilMs: number) => void;
+  /** Until the given time the store applies writes, but its responses are lost. */
+  readonly setResponsesLost: (untilMs: number) => void;
+  /** Cuts the zone's routers off from the store and from other zones until the given time. */
+  readonly setZoneIsolated: (zone: number, untilMs: number) => void;
 }
 
-export interface WorldOptions {
+export interface EnvironmentOptions {
   readonly routers: number;
   readonly canHandOver: boolean;
 }
@@ -102,7 +103,7 @@
   };
 }
 
-/** What routers ask of each other apart from roll-outs. */
+/** Calls between routers that roll-outs do not use. */
 const UNUSED_CALLS: Omit<RouterPeers, 'self' | 'listRouters' | 'sendReport' | 'setReportHandler'> =
   {
     listNearest: () => [],
@@ -116,66 +117,66 @@
     setCrashHandlers: () => undefined,
   };
 
-export function createWorld({ routers, canHandOver }: WorldOptions): World {
+export function createEnvironment({ routers, canHandOver }: EnvironmentOptions): Environment {
   const clock = Kernel.createFakeClock();
-  const items = new Map<string, StoredEntry>();
+  const stored = new Map<string, StoredEntry>();
   const configuration = createConfiguration(canHandOver);
   let revision = 1;
   let targets: readonly ForwardingTarget[] = [];
-  let awayUntilMs = 0;
+  let unavailableUntilMs = 0;
   let lostUntilMs = 0;
-  let cutZone: number | undefined;
-  let cutUntilMs = 0;
-  const known = new Map<string, Map<string, StoredEntry>>();
+  let isolatedZone: number | undefined;
+  let isolatedUntilMs = 0;
+  const entriesByRouter = new Map<string, Map<string, StoredEntry>>();
   const listeners = new Map<string, Set<() => void>>();
   const handlers = new Map<string, (report: RolloutReport) => RolloutGuidance>();
   const nodes: RouterNode[] = [];
 
-  function isCutOff(node: RouterNode): boolean {
-    return node.zone === cutZone && clock.getNowMs() < cutUntilMs;
+  function isIsolated(node: RouterNode): boolean {
+    return node.zone === isolatedZone && clock.getNowMs() < isolatedUntilMs;
   }
 
-  function hasStore(node: RouterNode): boolean {
-    return !isCutOff(node) && clock.getNowMs() >= awayUntilMs;
+  function isStoreReachable(node: RouterNode): boolean {
+    return !isIsolated(node) && clock.getNowMs() >= unavailableUntilMs;
   }
 
   function applyEntry(name: string, entry: StoredEntry): void {
-    const entries = known.get(name);
+    const entries = entriesByRouter.get(name);
     if (entries === undefined || (entries.get(entry.key)?.revision ?? 0) >= entry.revision) return;
     entries.set(entry.key, entry);
     listeners.get(name)?.forEach((listener) => listener());
   }
 
-  async function sendNews(node: RouterNode, entry: StoredEntry): Promise<void> {
-    do await clock.waitMs(NEWS_MS);
-    while (!hasStore(node) && !node.died.aborted);
-    applyEntry(node.name, items.get(entry.key) ?? entry);
+  async function sendUpdate(node: RouterNode, entry: StoredEntry): Promise<void> {
+    do await clock.waitMs(UPDATE_DELAY_MS);
+    while (!isStoreReachable(node) && !node.stopped.aborted);
+    applyEntry(node.name, stored.get(entry.key) ?? entry);
   }
 
-  function writeItem(key: string, value: string): void {
+  function writeEntry(key: string, value: string): void {
     const entry = { key, value, revision };
-    items.set(key, entry);
+    stored.set(key, entry);
     nodes.forEach((node) => {
-      sendNews(node, entry).catch(() => undefined);
+      sendUpdate(node, entry).catch(() => undefined);
     });
   }
 
   function runTransaction({ comparisons, writes }: KeyTransaction): boolean {
-    const isMet = comparisons.every((one) => (items.get(one.key)?.revision ?? 0) === one.revision);
+    const isMet = comparisons.every((one) => (stored.get(one.key)?.revision ?? 0) === one.revision);
     if (!isMet) return false;
     revision += 1;
-    writes.forEach(({ key, value = '' }) => writeItem(key, value));
+    writes.forEach(({ key, value = '' }) => writeEntry(key, value));
     return true;
   }
 
   async function callStore(node: RouterNode, transaction: KeyTransaction) {
-    if (!hasStore(node)) {
-      await clock.waitMs(CALL_MS);
+    if (!isStoreReachable(node)) {
+      await clock.waitMs(CALL_TIMEOUT_MS);
       return { kind: 'unavailable', message: 'no answer' } as const;
     }
     const isWritten = runTransaction(transaction);
     const written = revision;
-    await clock.waitMs(PEER_MS);
+    await clock.waitMs(CALL_LATENCY_MS);
     if (clock.getNowMs() < lostUntilMs) return { kind: 'unknown', message: 'lost' } as const;
     if (!isWritten) return { kind: 'conflict', revision: written, current: [] } as const;
     return { kind: 'written', revision: written } as const;
@@ -187,33 +188,33 @@
     report: RolloutReport,
   ): Promise<GuidanceOutcome> {
     const other = nodes.find(({ name }) => name === peer);
-    const isCut = other !== undefined && isCutOff(node) !== isCutOff(other);
+    const isPartitioned = other !== undefined && isIsolated(node) !== isIsolated(other);
     const handler = handlers.get(peer);
-    if (other === undefined || other.died.aborted || isCut || handler === undefined) {
-      await clock.waitMs(CALL_MS);
+    if (other === undefined || other.stopped.aborted || isPartitioned || handler === undefined) {
+      await clock.waitMs(CALL_TIMEOUT_MS);
       return { kind: 'failed', reason: 'no answer' };
     }
-    await clock.waitMs(PEER_MS);
+    await clock.waitMs(CALL_LATENCY_MS);
     return { kind: 'guided', guidance: handler(report) };
   }
 
   function createNode(index: number): RouterNode {
     const name = `10.0.0.1:${index}`;
-    const death = new AbortController();
-    known.set(name, new Map());
+    const stopController = new AbortController();
+    entriesByRouter.set(name, new Map());
     listeners.set(name, new Set());
     const node: RouterNode = {
       name,
       zone: index % 3,
-      died: death.signal,
-      kill: () => death.abort(),
+      stopped: stopController.signal,
+      stop: () => stopController.abort(),
       directory: createDirectory({
         routers,
         configuration,
-        entries: known.get(name) ?? new Map<string, StoredEntry>(),
+        entries: entriesByRouter.get(name) ?? new Map<string, StoredEntry>(),
         listeners: listeners.get(name) ?? new Set(),
         listTargets: () => targets,
-        isUpToDate: () => hasStore(node),
+        isUpToDate: () => isStoreReachable(node),
         recordEntry: (entry) => applyEntry(name, entry),
       }),
       peers: {
@@ -240,18 +241,18 @@
     listTargets: () => targets,
     writeKey(key, value) {
       revision += 1;
-      writeItem(key, value);
+      writeEntry(key, value);
     },
-    getValue: (key) => items.get(key)?.value,
-    setStoreAway(untilMs) {
-      awayUntilMs = untilMs;
+    getValue: (key) => stored.get(key)?.value,
+    setStoreUnavailable(untilMs) {
+      unavailableUntilMs = untilMs;
     },
-    setAnswersLost(untilMs) {
+    setResponsesLost(untilMs) {
       lostUntilMs = untilMs;
     },
-    setZoneCut(zone, untilMs) {
-      cutZone = zone;
-      cutUntilMs = untilMs;
+    setZoneIsolated(zone, untilMs) {
+      isolatedZone = zone;
+      isolatedUntilMs = untilMs;
     },
   };
 }
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedFleet.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedFleet.ts
@@ -1,33 +1,33 @@
-/** Routers of a played roll-out, each with the plug-in's own parts over the world. */
+/** Routers of a simulated roll-out: each runs the plug-in's own components in the simulated environment. */
 import type { DecideRolloutStep } from '@sequoiarill/decisions';
 import type { Capabilities, CapabilityName, ForwardingTarget, Rollouts } from '@sequoiarill/types';
 
 import * as RolloutsPlugin from '../plugin';
-import type { RouterNode, World } from './simulatedEnvironment';
-import * as Worlds from './simulatedEnvironment';
+import type { RouterNode, Environment } from './simulatedEnvironment';
+import * as Environments from './simulatedEnvironment';
 
-export interface PlayedRouter {
+export interface SimulatedRouter {
   readonly node: RouterNode;
   readonly rollouts: Rollouts;
   readonly addInFlight: (target: ForwardingTarget, change: number) => void;
 }
 
-export interface PlayedFleet {
-  readonly routers: readonly PlayedRouter[];
+export interface SimulatedFleet {
+  readonly routers: readonly SimulatedRouter[];
   /** Name of the router that tried to write last. */
   readonly getLastWriter: () => string | undefined;
 }
 
 const LIMITS = { canaryShare: 0.1, canarySlack: 50 };
 
-export function createPlayedFleet(
-  { clock, nodes }: World,
+export function createSimulatedFleet(
+  { clock, nodes }: Environment,
   decideStep: DecideRolloutStep,
-  stopped: AbortSignal,
-): PlayedFleet {
+  stopSignal: AbortSignal,
+): SimulatedFleet {
   let lastWriter: string | undefined;
 
-  function createRouter(node: RouterNode): PlayedRouter {
+  function createRouter(node: RouterNode): SimulatedRouter {
     const inFlight = new Map<string, number>();
     const keyValue = {
       writeTransaction(transaction: Parameters<typeof node.store.writeTransaction>[0]) {
@@ -36,7 +36,7 @@
       },
     } as Capabilities['keyValue'];
     const capabilities: Partial<Capabilities> = {
-      wire: Worlds.WIRE,
+      wire: Environments.WIRE,
       directory: node.directory,
       peers: node.peers,
       keyValue,
@@ -55,7 +55,7 @@
     node.peers.setReportHandler(runner.handleReport);
     node.directory.subscribe(applyDirectory);
     applyDirectory();
-    runner.run(AbortSignal.any([stopped, node.died])).catch(() => undefined);
+    runner.run(AbortSignal.any([stopSignal, node.stopped])).catch(() => undefined);
     return {
       node,
       rollouts,
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/strategies.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/strategies.ts
@@ -1,31 +1,33 @@
-/** Other ways to run a roll-out, to measure ours against. */
+/** Alternative roll-out strategies, to compare with the one of this project. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { DecideRolloutStep } from '@sequoiarill/decisions';
 
-/** Shares of the requests, one after the other in even parts of the time. */
-const STEPS = [0.05, 0.1, 0.25, 0.5] as const;
-/** Part of the time after which everything has moved. */
-const STEPS_PART = 0.6;
+/** Shares of the requests, applied in turn for equal parts of the time. */
+const STEP_SHARES = [0.05, 0.1, 0.25, 0.5] as const;
+/** Fraction of the roll-out time after which all requests go to the new version. */
+const STEPS_TIME_SHARE = 0.6;
 
-/** Fixed steps with a judgement at each. */
+/** Raises the share in fixed steps, with a check for a bad version before each. */
 export const decideFixedStep: DecideRolloutStep = (situation, limits) => {
   const { phase, share, judgement, elapsedMs, durationMs, isInService, isQuorate } = situation;
   const isRising = phase === 'canary' || phase === 'trial';
   if (!isRising || isInService || judgement.verdict === 'bad' || !isQuorate) {
     return Decisions.decideRolloutStep(situation, limits);
   }
-  const index = Math.floor((elapsedMs / durationMs / STEPS_PART) * STEPS.length);
-  const due = STEPS[index];
-  if (due === undefined) return { phase: 'moving', share: 1, reason: 'the last step' };
-  return due > share ? { phase: 'canary', share: due, reason: 'the next step' } : undefined;
+  const index = Math.floor((elapsedMs / durationMs / STEPS_TIME_SHARE) * STEP_SHARES.length);
+  const nextShare = STEP_SHARES[index];
+  if (nextShare === undefined) return { phase: 'moving', share: 1, reason: 'the last step' };
+  return nextShare > share
+    ? { phase: 'canary', share: nextShare, reason: 'the next step' }
+    : undefined;
 };
 
-/** Everything moves as soon as the new version is judged sound by enough answers. */
-const ENOUGH_ANSWERS = 30;
+const MIN_SOUND_ANSWERS = 30;
 
+/** Moves all requests as soon as enough answers show that the new version is sound. */
 export const decideSequential: DecideRolloutStep = (situation, limits) => {
   const { phase, judgement, isInService, isQuorate } = situation;
-  const isEnough = judgement.verdict === 'sound' && judgement.answers >= ENOUGH_ANSWERS;
+  const isEnough = judgement.verdict === 'sound' && judgement.answers >= MIN_SOUND_ANSWERS;
   if (phase === 'canary' && !isInService && isQuorate && isEnough) {
     return { phase: 'moving', share: 1, reason: 'enough sound answers' };
   }
