--- a/packages/sequoiarill-decisions/src/simulation/capacity.ts
+++ b/packages/sequoiarill-decisions/src/simulation/capacity.ts
@@ -1,9 +1,9 @@
 /** Capacity of the engines: their throughput on the workload's requests while no slot is ever idle. */
 import * as EngineModel from './engineModel';
+import * as RequestGenerator from './requestGenerator';
+import * as Timelines from './timeline';
 import * as Workloads from './workloads';
 import type { Workload } from './workloads';
-import * as Timelines from './timeline';
-import * as RequestGenerator from './requestGenerator';
 
 const PREFILL_TOKENS_PER_MS = 10;
 const TOKEN_GAP_MS = 20;
--- a/packages/sequoiarill-decisions/src/simulation/dispatcher.ts
+++ b/packages/sequoiarill-decisions/src/simulation/dispatcher.ts
@@ -1,9 +1,9 @@
 /** Sends requests to engines, handles how they end, and retries or continues the ones that failed. */
 import type { EngineModel } from './engineModel';
 import type { InFlightRequest } from './inFlightRequest';
-import type { SimulationMetrics } from './simulationMetrics';
 import type { RouterPolicy } from './policies';
 import type { RouterViews } from './routerViews';
+import type { SimulationMetrics } from './simulationMetrics';
 import type { Timeline } from './timeline';
 
 /** Time until the router detects a broken stream. */
--- a/packages/sequoiarill-decisions/src/simulation/inFlightRequest.ts
+++ b/packages/sequoiarill-decisions/src/simulation/inFlightRequest.ts
@@ -1,7 +1,7 @@
 /** State of one in-flight request, over all engines that it is sent to. */
 import type { Permit } from '../admissionTypes';
-import type { FinishedRequest } from './simulationMetrics';
 import type { SimulatedRequest } from './requestGenerator';
+import type { FinishedRequest } from './simulationMetrics';
 
 export interface InFlightRequest {
   readonly request: SimulatedRequest;
--- a/packages/sequoiarill-decisions/src/simulation/loadReports.ts
+++ b/packages/sequoiarill-decisions/src/simulation/loadReports.ts
@@ -1,7 +1,7 @@
 /** Load reports of engines, visible to routers after a delay. */
 import type { EngineModel, EngineReport } from './engineModel';
-import type { Workload } from './workloads';
 import type { Timeline } from './timeline';
+import type { Workload } from './workloads';
 
 export interface LoadReports {
   readonly getReport: (engine: string) => EngineReport | undefined;
--- a/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
+++ b/packages/sequoiarill-decisions/src/simulation/requestGenerator.ts
@@ -1,7 +1,7 @@
 /** Generates the requests of a workload: arrival times, organisations and lengths. */
+import * as Random from './random';
 import type { Workload } from './workloads';
 import { ROUTER_COUNT } from './workloads';
-import * as Random from './random';
 
 export interface SimulatedRequest {
   readonly organisation: string;
@@ -21,12 +21,12 @@
 const SHARED_PROMPT_TOKENS = 600;
 const UNIQUE_PROMPT_TOKENS = 300;
 
-export function computeMeanOutputTokens(longShare: number): number {
-  return longShare * LONG_OUTPUT_TOKENS + (1 - longShare) * SHORT_OUTPUT_TOKENS;
+export function computeMeanOutputTokens(longOutputShare: number): number {
+  return longOutputShare * LONG_OUTPUT_TOKENS + (1 - longOutputShare) * SHORT_OUTPUT_TOKENS;
 }
 
-function sampleOutputTokens(nextRandom: Random.NextRandom, longShare: number): number {
-  if (nextRandom() < longShare) return LONG_OUTPUT_TOKENS * (0.5 + nextRandom());
+function sampleOutputTokens(nextRandom: Random.NextRandom, longOutputShare: number): number {
+  if (nextRandom() < longOutputShare) return LONG_OUTPUT_TOKENS * (0.5 + nextRandom());
   return Math.max(MIN_OUTPUT_TOKENS, SHORT_OUTPUT_TOKENS * 2 * nextRandom());
 }
 
--- a/packages/sequoiarill-decisions/src/simulation/routerModel.ts
+++ b/packages/sequoiarill-decisions/src/simulation/routerModel.ts
@@ -3,12 +3,12 @@
 import * as Dispatchers from './dispatcher';
 import type { EngineModel } from './engineModel';
 import * as InFlightRequests from './inFlightRequest';
-import type { SimulationMetrics } from './simulationMetrics';
-import type { RouterPolicy } from './policies';
 import type { LoadReports } from './loadReports';
+import type { RouterPolicy } from './policies';
+import type { SimulatedRequest } from './requestGenerator';
 import * as RouterViews from './routerViews';
+import type { SimulationMetrics } from './simulationMetrics';
 import type { Timeline } from './timeline';
-import type { SimulatedRequest } from './requestGenerator';
 
 /** A caller that has not received its first token by then cancels its request. */
 const FIRST_TOKEN_TIMEOUT_MS = 5_000;
--- a/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
+++ b/packages/sequoiarill-decisions/src/simulation/simulateWorkload.ts
@@ -1,15 +1,15 @@
 /** Simulates one workload under one policy and summarises what callers received. */
 import * as Capacity from './capacity';
 import type * as EngineModel from './engineModel';
-import * as Metrics from './simulationMetrics';
-import * as Workloads from './workloads';
-import type { FaultEvent, Workload } from './workloads';
+import * as LoadReports from './loadReports';
 import type { PolicyDefinition } from './policies';
 import * as Random from './random';
-import * as LoadReports from './loadReports';
+import * as RequestGenerator from './requestGenerator';
 import * as RouterModel from './routerModel';
+import * as Metrics from './simulationMetrics';
 import * as Timelines from './timeline';
-import * as RequestGenerator from './requestGenerator';
+import * as Workloads from './workloads';
+import type { FaultEvent, Workload } from './workloads';
 
 /** Delay after which a refused caller that ignores Retry-After retries. */
 const CLIENT_RETRY_DELAY_MS = 200;
--- a/packages/sequoiarill-decisions/src/simulation/simulationMetrics.ts
+++ b/packages/sequoiarill-decisions/src/simulation/simulationMetrics.ts
@@ -1,6 +1,6 @@
 /** Metrics of one simulated run: what callers received, and how well the policy did. */
-import type { Workload } from './workloads';
 import type { SimulatedRequest } from './requestGenerator';
+import type { Workload } from './workloads';
 
 /** Limits within which an answer counts as good. */
 export const MAX_FIRST_TOKEN_MS = 1_000;
@@ -36,7 +36,7 @@
   readonly goodputOfAsked: number;
   readonly p95FirstTokenMs: number;
   readonly p50FirstTokenMs: number;
-  /** Lowest ratio of any organisation: tokens served to it over its max-min fairShares share. */
+  /** Lowest ratio of any organisation: tokens served to it over its max-min fair share. */
   readonly worstShare: number;
   /** Tokens of answers that were not good, cancelled or prefilled again, as a share of all tokens. */
   readonly wastedShare: number;
@@ -68,7 +68,7 @@
 
 export function createSimulationMetrics(workload: Workload): SimulationMetrics {
   const firstTokenTimesMs: number[] = [];
-  const askedTokens = new Map<string, number>();
+  const requestedTokens = new Map<string, number>();
   const servedTokens = new Map<string, number>();
   const counts = {
     asked: 0,
@@ -87,10 +87,10 @@
     return atMs >= workload.measuredFromMs && atMs < workload.endMs;
   }
 
-  function recordAsked(request: SimulatedRequest): void {
+  function recordArrival(request: SimulatedRequest): void {
     if (!isMeasured(request.arrivedMs)) return;
     counts.asked += 1;
-    addTokens(askedTokens, request.organisation, request.outputTokens);
+    addTokens(requestedTokens, request.organisation, request.outputTokens);
   }
 
   function recordFinished(finished: FinishedRequest): void {
@@ -123,13 +123,13 @@
     if (isMeasured(request.arrivedMs)) counts.failed += 1;
   }
 
-  function recordWaste(tokens: number, atMs: number): void {
+  function recordWastedTokens(tokens: number, atMs: number): void {
     if (isMeasured(atMs)) wastedTokens += tokens;
   }
 
   function getSummary(policy: string, capacity: number): SimulationSummary {
     const seconds = (workload.endMs - workload.measuredFromMs) / 1000;
-    const possible = Math.min(computeSum(askedTokens), capacity * seconds);
+    const possible = Math.min(computeSum(requestedTokens), capacity * seconds);
     return {
       policy,
       pattern: workload.name,
@@ -137,7 +137,7 @@
       goodputOfAsked: computeSum(servedTokens) / possible,
       p95FirstTokenMs: Math.round(pickPercentile(firstTokenTimesMs, 0.95)),
       p50FirstTokenMs: Math.round(pickPercentile(firstTokenTimesMs, 0.5)),
-      worstShare: computeWorstShare(workload, askedTokens, servedTokens),
+      worstShare: computeWorstShare(workload, requestedTokens, servedTokens),
       wastedShare: wastedTokens / Math.max(1, goodTokens + wastedTokens),
       longestPauseMs: Math.round(longestPauseMs),
       asked: counts.asked,
@@ -151,12 +151,12 @@
   }
 
   return {
-    recordArrival: recordAsked,
+    recordArrival,
     recordFinished,
     recordRefused,
     recordAbandoned,
     recordFailed,
-    recordWastedTokens: recordWaste,
+    recordWastedTokens,
     getSummary,
   };
 }
@@ -183,7 +183,7 @@
 /** Max-min fairness: no organisation gets more than it requested; the rest is divided by weight. */
 function computeWorstShare(
   workload: Workload,
-  asked: ReadonlyMap<string, number>,
+  requested: ReadonlyMap<string, number>,
   served: ReadonlyMap<string, number>,
 ): number {
   let remaining = computeSum(served);
@@ -193,11 +193,11 @@
     const weights = unsettled.reduce((sum, { weight }) => sum + weight, 0);
     const level = remaining / weights;
     const satisfied = unsettled.filter(
-      ({ name, weight }) => (asked.get(name) ?? 0) <= level * weight,
+      ({ name, weight }) => (requested.get(name) ?? 0) <= level * weight,
     );
     const settled = satisfied.length > 0 ? satisfied : unsettled;
     for (const { name, weight } of settled) {
-      const share = satisfied.length > 0 ? (asked.get(name) ?? 0) : level * weight;
+      const share = satisfied.length > 0 ? (requested.get(name) ?? 0) : level * weight;
       fairShares.set(name, share);
       remaining -= share;
     }
--- a/packages/sequoiarill-plugin-rollouts/src/localRolloutState.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/localRolloutState.ts
@@ -2,8 +2,8 @@
 import type { RolloutGuidance } from '@sequoiarill/types';
 
 import * as AnswerTallies from './answerTallies';
-import type { RolloutView } from './rolloutViews';
 import * as ReportRegistries from './reportRegistry';
+import type { RolloutView } from './rolloutViews';
 
 export interface LocalRolloutState {
   readonly orderRevision: number;
--- a/packages/sequoiarill-plugin-rollouts/src/plugin.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/plugin.ts
@@ -10,15 +10,15 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
+import * as LocalRolloutStates from './localRolloutState';
 import * as RolloutEvaluators from './rolloutEvaluator';
 import * as RolloutRunners from './rolloutRunner';
-import * as LocalRolloutStates from './localRolloutState';
 import * as RolloutViews from './rolloutViews';
 import type { RolloutView } from './rolloutViews';
 import { settingsSchema } from './settings';
 import type { RolloutSettings } from './settings';
 
-/** Interval between two reports of a router; it grows with the number of routers per evaluator. */
+/** Interval between two reports of a router; grows with the routers that report to one evaluator. */
 const MIN_REPORT_INTERVAL_MS = 300;
 const MAX_REPORT_INTERVAL_MS = 2_000;
 const REPORT_INTERVAL_PER_ROUTER_MS = 5;
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
@@ -19,10 +19,10 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import * as RolloutRecords from './rolloutRecord';
-import type { RolloutRecord } from './rolloutRecord';
 import * as LocalRolloutStates from './localRolloutState';
 import type { LocalRolloutState } from './localRolloutState';
+import * as RolloutRecords from './rolloutRecord';
+import type { RolloutRecord } from './rolloutRecord';
 import type { RolloutView, ObservedOrder, ObservedRecord } from './rolloutViews';
 
 export interface RolloutEvaluatorOptions {
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutRunner.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutRunner.ts
@@ -10,9 +10,9 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import type { createRolloutEvaluator } from './rolloutEvaluator';
 import * as LocalRolloutStates from './localRolloutState';
 import type { LocalRolloutState } from './localRolloutState';
+import type { createRolloutEvaluator } from './rolloutEvaluator';
 import * as RolloutViews from './rolloutViews';
 import type { RolloutView } from './rolloutViews';
 
@@ -34,7 +34,7 @@
 const IDLE_WAIT_MS = 3_600_000;
 /** Time for which a router that did not accept a report is not chosen as the evaluator. */
 const EVALUATOR_EXCLUSION_MS = 3_000;
-/** Pause of the evaluating router between two evaluations, and before a report that failed goes elsewhere. */
+/** Pause between two evaluations on one router, and before a failed report goes to another router. */
 const EVALUATION_INTERVAL_MS = 200;
 const NO_GUIDANCE: RolloutGuidance = { isHalted: false, avoided: [] };
 
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/faultInjection.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/faultInjection.ts
@@ -4,11 +4,11 @@
 import type { ForwardingTarget } from '@sequoiarill/types';
 
 import type { SimulatedFault, RolloutCase } from './rolloutCase';
+import * as Environments from './simulatedEnvironment';
+import type { Environment } from './simulatedEnvironment';
 import type { SimulatedFleet } from './simulatedFleet';
 import * as SimulatedTraffics from './simulatedTraffic';
 import type { SimulatedTraffic } from './simulatedTraffic';
-import * as Environments from './simulatedEnvironment';
-import type { Environment } from './simulatedEnvironment';
 
 const FAILING_TARGETS_SHARE = 0.25;
 const ISOLATED_ZONE = 0;
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/simulateRollout.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulateRollout.ts
@@ -4,11 +4,11 @@
 import * as Simulation from '@sequoiarill/decisions/lib/simulation';
 import type { ForwardingTarget } from '@sequoiarill/types';
 
-import type { RolloutCase, RolloutResult } from './rolloutCase';
 import * as FaultInjection from './faultInjection';
+import type { RolloutCase, RolloutResult } from './rolloutCase';
+import * as Environments from './simulatedEnvironment';
 import * as SimulatedFleets from './simulatedFleet';
 import * as SimulatedTraffics from './simulatedTraffic';
-import * as Environments from './simulatedEnvironment';
 
 /** Time with load after the time limit of the order. */
 const LOAD_AFTER_LIMIT_MS = 6_000;
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedTraffic.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/simulatedTraffic.ts
@@ -3,8 +3,8 @@
 import type { ForwardingTarget, VersionAttemptResult } from '@sequoiarill/types';
 
 import type { RolloutCase } from './rolloutCase';
-import type { SimulatedFleet, SimulatedRouter } from './simulatedFleet';
 import type { Environment } from './simulatedEnvironment';
+import type { SimulatedFleet, SimulatedRouter } from './simulatedFleet';
 
 /** Versions of the service before and after the roll-out. */
 export const OLD = 'v1';
@@ -21,7 +21,7 @@
 /** Share of the usual load from which a target counts as loaded. */
 const LOADED_SHARE = 0.7;
 const LOAD_WINDOW_MS = 1_000;
-/** Time after which a stream can move to another target when its version is leaving. */
+/** Age from which a stream is handed over to another target when its version is leaving. */
 const HANDOVER_MS = 400;
 
 interface RunningRequest {
