--- a/packages/sequoiarill-decisions/src/__tests__/streamAdmission.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/streamAdmission.test.ts
@@ -23,7 +23,7 @@
   const gapMs = 1_000 / promptsPerSecond;
   let lastMs = 0;
   while (lastMs < DURATION_MS) {
-    const nowMs = lastMs + Random.pickExponential(nextRandom, gapMs);
+    const nowMs = lastMs + Random.sampleExponential(nextRandom, gapMs);
     lastMs = nowMs;
     const queried = Array.from({ length: 6 }, () => Math.floor(nextRandom() * ENGINES));
     const waits = queried.map((engine) => Math.max(0, (freeAtMs[engine] ?? 0) - nowMs));
