--- a/packages/sequoiarill-plugin-generations/src/__tests__/capacityTask.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/capacityTask.test.ts
@@ -23,7 +23,7 @@
 
 /** Runs the task for one round and returns what it told admission and the target sets. */
 async function runRound(peers: readonly Peer[]) {
-  const stop = new AbortController();
+  const controller = new AbortController();
   const capacities: number[] = [];
   const sets: (readonly string[])[] = [];
   const configuration = {
@@ -37,7 +37,7 @@
       getNowMs: () => 0,
       getRunningMs: () => 0,
       getWallTime: () => '',
-      waitMs: async () => stop.abort(),
+      waitMs: async () => controller.abort(),
     },
     configuration: {
       getConfiguration: () => configuration,
@@ -46,10 +46,10 @@
     membership: { listPeers: () => peers },
     serving: { setRouters: (names: readonly string[]) => sets.push(names) },
     targets: { getCapacity: () => ({ slots: SLOTS, busyShare: 0.5 }) },
-    gate: { setCapacity: (_model: string, slots: number) => capacities.push(slots) },
+    admission: { setCapacity: (_model: string, slots: number) => capacities.push(slots) },
     poller: { runRound: async () => undefined },
   } as unknown as CapacityTaskOptions;
-  await CapacityTasks.runCapacityTask(options, stop.signal);
+  await CapacityTasks.runCapacityTask(options, controller.signal);
   return { capacities, sets };
 }
 
--- a/packages/sequoiarill-plugin-generations/src/__tests__/fakeEngines.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/fakeEngines.ts
@@ -9,13 +9,13 @@
 } from '@sequoiarill/types';
 
 import type { EngineEvent } from '../answer';
-import type { AttemptEnd } from '../attemptEnds';
+import type { AttemptResult } from '../attemptResults';
 import * as Generations from '../generation';
-import type { AttemptOrder, GenerationParts } from '../generation';
+import type { Attempt, GenerationDependencies } from '../generation';
 
 export const PROMPT_IDS: readonly number[] = [11, 12, 13];
 /** Pieces of text; the two halves of a character that needs two tokens follow each other. */
-const PIECES = [' size', ' fits', ' 4', '2', ' wide', '. ', 'ha', 'lf'];
+const TOKEN_TEXTS = [' size', ' fits', ' 4', '2', ' wide', '. ', 'ha', 'lf'];
 const LEAD_ID = 100;
 const TRAIL_ID = 101;
 
@@ -34,7 +34,7 @@
 
 function getText(id: number): string {
   if (id === LEAD_ID) return '';
-  return id === TRAIL_ID ? 'ð' : PIECES[id]!;
+  return id === TRAIL_ID ? 'ð' : TOKEN_TEXTS[id]!;
 }
 
 /** The events of an undisturbed run from the given ids. */
@@ -61,7 +61,7 @@
   readonly text: string;
   readonly tokenCount: number;
   readonly outcome: GenerationOutcome;
-  readonly orders: readonly AttemptOrder[];
+  readonly attempts: readonly Attempt[];
 }
 
 function createTarget(index: number): EngineTarget {
@@ -78,7 +78,7 @@
   };
 }
 
-export function createRequest(parts: Partial<GenerationRequest> = {}): GenerationRequest {
+export function createRequest(overrides: Partial<GenerationRequest> = {}): GenerationRequest {
   return {
     requestId: 'resp_1',
     organisation: {} as GenerationRequest['organisation'],
@@ -87,20 +87,20 @@
     maxOutputTokens: 40,
     stop: [],
     signal: new AbortController().signal,
-    ...parts,
+    ...overrides,
   };
 }
 
 async function* runFakeAttempt(
-  order: AttemptOrder,
+  attempt: Attempt,
   fault: Fault,
-): AsyncGenerator<readonly EngineEvent[], AttemptEnd, void> {
+): AsyncGenerator<readonly EngineEvent[], AttemptResult, void> {
   if (fault.kind === 'busy') return { kind: 'busy', retryAfterSeconds: 3 };
   if (fault.kind === 'refused') {
     return { kind: 'lost', cause: 'refused', message: 'refused', mayHaveRun: false };
   }
-  const [first, ...rest] = listEvents(order.tokenIds ?? PROMPT_IDS, order.maxTokens);
-  const events = [{ ...first!, promptTokenIds: order.tokenIds ?? PROMPT_IDS }, ...rest];
+  const [first, ...rest] = listEvents(attempt.tokenIds ?? PROMPT_IDS, attempt.maxTokens);
+  const events = [{ ...first!, promptTokenIds: attempt.tokenIds ?? PROMPT_IDS }, ...rest];
   for (const [index, event] of events.entries()) {
     if (fault.kind === 'lost' && index >= fault.afterEvents) break;
     yield [event];
@@ -117,16 +117,16 @@
   faults: readonly Fault[],
   engines = faults.length + 1,
 ): Promise<Run> {
-  const orders: AttemptOrder[] = [];
+  const attempts: Attempt[] = [];
   const journal: Journal = { recordDecision: () => undefined, explainRequest: () => undefined };
-  const parts: GenerationParts = {
+  const dependencies: GenerationDependencies = {
     chooseTarget() {
-      if (orders.length >= engines) return { kind: 'none', reason: 'none', retryAfterSeconds: 2 };
-      return { kind: 'target', target: createTarget(orders.length), reason: 'test' };
+      if (attempts.length >= engines) return { kind: 'none', reason: 'none', retryAfterSeconds: 2 };
+      return { kind: 'target', target: createTarget(attempts.length), reason: 'test' };
     },
-    runAttempt(order) {
-      orders.push(order);
-      return runFakeAttempt(order, faults[orders.length - 1] ?? { kind: 'none' });
+    runAttempt(attempt) {
+      attempts.push(attempt);
+      return runFakeAttempt(attempt, faults[attempts.length - 1] ?? { kind: 'none' });
     },
     cancelAttempt: () => undefined,
     takeRetry: () => true,
@@ -138,10 +138,10 @@
     getNowMs: () => 0,
   };
   const batches: TokenBatch[] = [];
-  const generation = Generations.runGeneration(request, model, parts);
+  const generation = Generations.runGeneration(request, model, dependencies);
   for (;;) {
     const next = await generation.next();
-    if (next.done) return createRun(batches, next.value, orders);
+    if (next.done) return createRun(batches, next.value, attempts);
     batches.push(next.value);
   }
 }
@@ -149,9 +149,9 @@
 function createRun(
   batches: readonly TokenBatch[],
   outcome: GenerationOutcome,
-  orders: readonly AttemptOrder[],
+  attempts: readonly Attempt[],
 ): Run {
   const text = batches.map((batch) => batch.text).join('');
   const tokenCount = batches.reduce((sum, batch) => sum + batch.tokenCount, 0);
-  return { text, tokenCount, outcome, orders };
+  return { text, tokenCount, outcome, attempts };
 }
--- a/packages/sequoiarill-plugin-generations/src/__tests__/generation.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/generation.test.ts
@@ -17,14 +17,14 @@
 );
 
 /** Faults that the property below must have met in all. */
-const MIN_FAULTS = 10_000;
+const MIN_INJECTED_FAULTS = 10_000;
 
 describe('generation', () => {
   it('gives the same whole answer whatever engines are lost on the way', async () => {
     // A caller reads one long answer while engine after engine dies, refuses or is full. The text,
     // the count of tokens, the usage and the finish reason are those of an undisturbed run.
     // Cause: a continuation that starts at the wrong token, or inside a character.
-    let faultsMet = 0;
+    let injectedFaults = 0;
     await FastCheck.assert(
       FastCheck.asyncProperty(
         FastCheck.array(faultArbitrary, { maxLength: 5 }),
@@ -34,24 +34,24 @@
           const busy = faults.filter((fault) => fault.kind === 'busy').length;
           FastCheck.pre(busy <= 3);
           const request = FakeEngines.createRequest({ maxOutputTokens, stop });
-          const calm = await FakeEngines.runRequest(request, []);
+          const undisturbed = await FakeEngines.runRequest(request, []);
           const run = await FakeEngines.runRequest(request, faults);
-          faultsMet += Math.min(run.orders.length, faults.length);
-          expect(run.text).toEqual(calm.text);
-          expect(run.tokenCount).toEqual(calm.tokenCount);
-          expect(run.outcome).toEqual(calm.outcome);
+          injectedFaults += Math.min(run.attempts.length, faults.length);
+          expect(run.text).toEqual(undisturbed.text);
+          expect(run.tokenCount).toEqual(undisturbed.tokenCount);
+          expect(run.outcome).toEqual(undisturbed.outcome);
         },
       ),
       { seed: 20261202, numRuns: 5000 },
     );
-    expect(faultsMet >= MIN_FAULTS).toEqual(true);
+    expect(injectedFaults >= MIN_INJECTED_FAULTS).toEqual(true);
   });
 
   it('raises the fencing number with each engine and never asks one twice', async () => {
     const faults: readonly Fault[] = [{ kind: 'lost', afterEvents: 3 }, { kind: 'busy' }];
-    const { orders } = await FakeEngines.runRequest(FakeEngines.createRequest(), faults);
-    expect(orders.map((order) => order.generation)).toEqual([1, 2, 3]);
-    expect(new Set(orders.map((order) => order.target.name)).size).toEqual(3);
+    const { attempts: orders } = await FakeEngines.runRequest(FakeEngines.createRequest(), faults);
+    expect(orders.map((attempt) => attempt.generation)).toEqual([1, 2, 3]);
+    expect(new Set(orders.map((attempt) => attempt.target.name)).size).toEqual(3);
   });
 
   it('says "not run" only while no engine may have run it', async () => {
@@ -66,7 +66,10 @@
 
   it('tells when to come back after every engine asked is full', async () => {
     const faults: readonly Fault[] = Array.from({ length: 6 }, () => ({ kind: 'busy' }) as const);
-    const { outcome, orders } = await FakeEngines.runRequest(FakeEngines.createRequest(), faults);
+    const { outcome, attempts: orders } = await FakeEngines.runRequest(
+      FakeEngines.createRequest(),
+      faults,
+    );
     expect(orders.length).toEqual(4);
     expect(outcome).toEqual({
       kind: 'notRun',
@@ -80,9 +83,9 @@
     // The engine gives the last token that the output limit allows and dies before it says so.
     // Asking another engine for zero tokens would be refused; the answer is whole as it is.
     const request = FakeEngines.createRequest({ maxOutputTokens: 7, stop: ['never'] });
-    const calm = await FakeEngines.runRequest(request, []);
+    const undisturbed = await FakeEngines.runRequest(request, []);
     const run = await FakeEngines.runRequest(request, [{ kind: 'lost', afterEvents: 7 }]);
-    expect(run.text).toEqual(calm.text);
-    expect(run.outcome).toEqual(calm.outcome);
+    expect(run.text).toEqual(undisturbed.text);
+    expect(run.outcome).toEqual(undisturbed.outcome);
   });
 });
--- a/packages/sequoiarill-plugin-generations/src/__tests__/loadPoller.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/loadPoller.test.ts
@@ -56,9 +56,9 @@
     // A zone grows from two routers to eight. If each of them asked every engine, an engine would
     // answer eight times as often for the same knowledge, and control would outgrow its budget.
     const rounds = await Promise.all(ROUTERS.map((name) => runRound(name, ROUTERS)));
-    const askers = new Map<string, number>();
-    for (const { target } of rounds.flat()) askers.set(target, (askers.get(target) ?? 0) + 1);
-    expect(askers.size).toEqual(ENGINES / 2);
-    expect([...askers.values()].every((count) => count === 2)).toEqual(true);
+    const polls = new Map<string, number>();
+    for (const { target } of rounds.flat()) polls.set(target, (polls.get(target) ?? 0) + 1);
+    expect(polls.size).toEqual(ENGINES / 2);
+    expect([...polls.values()].every((count) => count === 2)).toEqual(true);
   });
 });
--- a/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
@@ -6,17 +6,19 @@
 import * as StallTimers from '../stallTimer';
 
 const LIMIT_MS = 900;
-const STEP_MS = 10;
+const CLOCK_STEP_MS = 10;
 
-interface Play {
+interface TimerSimulation {
   readonly timer: StallTimers.StallTimer;
   readonly countStalls: () => number;
   readonly runFor: (ms: number) => Promise<void>;
   /** Moves the clock alone, so that timers are late. */
-  readonly pauseFor: (ms: number) => void;
+  readonly simulatePause: (ms: number) => void;
 }
 
-async function playTimer(play: (parts: Play) => Promise<void>): Promise<void> {
+async function simulateTimer(
+  runScenario: (parts: TimerSimulation) => Promise<void>,
+): Promise<void> {
   let nowMs = 0;
   let stalls = 0;
   const getRunningMs = Kernel.createRunningTime(() => nowMs);
@@ -25,18 +27,18 @@
   });
   mock.timers.enable({ apis: ['setTimeout'] });
   try {
-    await play({
+    await runScenario({
       timer,
       countStalls: () => stalls,
       async runFor(ms) {
-        for (let passed = 0; passed < ms; passed += STEP_MS) {
-          nowMs += STEP_MS;
+        for (let passed = 0; passed < ms; passed += CLOCK_STEP_MS) {
+          nowMs += CLOCK_STEP_MS;
           getRunningMs();
-          mock.timers.tick(STEP_MS);
+          mock.timers.tick(CLOCK_STEP_MS);
           await new Promise<void>(Kernel.delayPastReads);
         }
       },
-      pauseFor(ms) {
+      simulatePause(ms) {
         nowMs += ms;
         mock.timers.tick(ms);
       },
@@ -50,7 +52,7 @@
   for (const pauseMs of [300, 800, 1_400, 2_500, 3_800, 5_500]) {
     it(`does not count a pause of the router of ${pauseMs} ms`, async () => {
       // Guards against a second engine for each stream of a router that was paused and woken.
-      await playTimer(async ({ timer, countStalls, runFor, pauseFor }) => {
+      await simulateTimer(async ({ timer, countStalls, runFor, simulatePause: pauseFor }) => {
         timer.start(LIMIT_MS);
         await runFor(400);
         pauseFor(pauseMs);
@@ -62,7 +64,7 @@
 
   it('counts from where it was, so that an engine that died meanwhile is left', async () => {
     // Guards against a stream that waits without end for an engine which ended during the pause.
-    await playTimer(async ({ timer, countStalls, runFor, pauseFor }) => {
+    await simulateTimer(async ({ timer, countStalls, runFor, simulatePause: pauseFor }) => {
       timer.start(LIMIT_MS);
       await runFor(400);
       pauseFor(5_500);
@@ -72,11 +74,11 @@
   });
 
   it('is over after the limit where nothing holds the router up', async () => {
-    await playTimer(async ({ timer, countStalls, runFor }) => {
+    await simulateTimer(async ({ timer, countStalls, runFor }) => {
       timer.start(LIMIT_MS);
-      await runFor(LIMIT_MS - STEP_MS);
+      await runFor(LIMIT_MS - CLOCK_STEP_MS);
       expect(countStalls()).toEqual(0);
-      await runFor(3 * STEP_MS);
+      await runFor(3 * CLOCK_STEP_MS);
       expect(countStalls()).toEqual(1);
     });
   });
--- a/packages/sequoiarill-plugin-generations/src/__tests__/stopSequences.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stopSequences.test.ts
@@ -27,8 +27,8 @@
             stopped = scan.stopped;
           }
           if (!stopped) released += scanner.takeHeld();
-          const whole = StopSequences.createStopScanner(stops).addText(text);
-          const isSame = stopped === whole.stopped && (!stopped || text.startsWith(released));
+          const unsplit = StopSequences.createStopScanner(stops).addText(text);
+          const isSame = stopped === unsplit.stopped && (!stopped || text.startsWith(released));
           expect(isSame).toEqual(true);
           expect(stops.some((stop) => released.includes(stop))).toEqual(false);
         },
--- a/packages/sequoiarill-plugin-generations/src/__tests__/targets.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/targets.test.ts
@@ -3,7 +3,7 @@
 import type { EngineTarget, TargetHealth, TargetReport } from '@sequoiarill/types';
 import { expect } from 'earl';
 
-import type { AttemptOrder } from '../generation';
+import type { Attempt } from '../generation';
 import * as Targets from '../targets';
 import * as FakeEngines from './fakeEngines';
 
@@ -23,7 +23,7 @@
   };
 }
 
-function createWorld() {
+function createFixture() {
   const engines = [0, 1, 2].map(createEngine);
   const health = new Map<string, TargetHealth>();
   const inFlight = new Map<string, number>();
@@ -32,7 +32,7 @@
   const targets = Targets.createTargets({
     routerName: 'router-1',
     zone: 'z1',
-    serving: { listSet: () => engines, listAll: () => engines, setRouters: () => undefined },
+    serving: { listSelected: () => engines, listAll: () => engines, setRouters: () => undefined },
     getInFlight: (target) => inFlight.get(target) ?? 0,
     membership: {
       getTargetHealth: (target) => health.get(target),
@@ -41,17 +41,17 @@
     nextRandom: () => 0.5,
     getNowMs: () => nowMs,
   });
-  const order = (index: number): AttemptOrder => ({
+  const createAttempt = (index: number): Attempt => ({
     request: FakeEngines.createRequest(),
     model: FakeEngines.model,
     target: engines[index]!,
     generation: 1,
     maxTokens: 10,
   });
-  const passMs = (ms: number) => {
+  const addElapsedMs = (ms: number) => {
     nowMs += ms;
   };
-  return { targets, health, inFlight, reports, order, passMs };
+  return { targets, health, inFlight, reports, order: createAttempt, passMs: addElapsedMs };
 }
 
 describe('targets', () => {
@@ -59,7 +59,7 @@
     // A third of the engines is lost and the limit stays as it was: every continued stream meets a
     // full engine. The capacity falls with the first loss; two seconds later the engine is tried
     // again although this router's own word that it is dead has not aged at its peers yet.
-    const { targets, health, order, passMs, reports } = createWorld();
+    const { targets, health, order, passMs, reports } = createFixture();
     targets.recordFailure(order(0));
     health.set('engine-0', { target: 'engine-0', state: 'dead', observer: 'router-1', ageMs: 0 });
     expect(targets.getCapacity(FakeEngines.model).slots).toEqual(2 * SLOTS);
@@ -71,14 +71,14 @@
 
   it("go by a peer's word that an engine is dead, without a loss of their own", () => {
     // One router of the zone saw an engine die. The others would each lose a stream to find out.
-    const { targets, health } = createWorld();
+    const { targets, health } = createFixture();
     health.set('engine-1', { target: 'engine-1', state: 'dead', observer: 'router-2', ageMs: 300 });
     expect(targets.getCapacity(FakeEngines.model).slots).toEqual(2 * SLOTS);
   });
 
   it('count what the zone runs on an engine, not only what this router does', () => {
     // Two routers share three engines. Each sees its own half and would admit twice what fits.
-    const { targets, health, inFlight } = createWorld();
+    const { targets, health, inFlight } = createFixture();
     inFlight.set('engine-2', 3);
     const seen = { state: 'healthy', observer: 'router-2', ageMs: 100 } as const;
     health.set('engine-2', { ...seen, target: 'engine-2', running: 9, waiting: 0 });
--- a/packages/sequoiarill-plugin-generations/src/admissionGate.ts
+++ b/packages/sequoiarill-plugin-generations/src/admissionController.ts
@@ -15,29 +15,32 @@
   Ticket,
 } from '@sequoiarill/decisions';
 
-export interface GateCancelled {
+export interface AdmissionCancelled {
   readonly kind: 'cancelled';
 }
 
-export type GateOutcome = Admitted | Refused | GateCancelled;
+export type AdmissionOutcome = Admitted | Refused | AdmissionCancelled;
 
-export interface AdmissionGate {
-  readonly waitForPermit: (request: AdmissionRequest, signal: AbortSignal) => Promise<GateOutcome>;
+export interface AdmissionController {
+  readonly waitForPermit: (
+    request: AdmissionRequest,
+    signal: AbortSignal,
+  ) => Promise<AdmissionOutcome>;
   readonly recordFirstToken: (permit: Permit, ms: number) => void;
   readonly releasePermit: (permit: Permit, use: AdmissionUse) => void;
   /** Tells what the engines of a model can take now; see `ConcurrencyLimit.setCapacity`. */
   readonly setCapacity: (model: string, slots: number, busyShare: number) => void;
   readonly close: () => void;
-  readonly dumpLanes: () => ReturnType<Admission['listModelQueues']>;
+  readonly dumpModelQueues: () => ReturnType<Admission['listModelQueues']>;
 }
 
-export interface AdmissionGateOptions {
+export interface AdmissionControllerOptions {
   readonly nextRandom: () => number;
   readonly getNowMs: () => number;
   /** Longest wait in the queue before a refusal, milliseconds. */
   readonly maxWaitMs: number;
   /** This router's even part of the generations that all engines of a model can run. */
-  readonly getFairSlots: (model: string) => number;
+  readonly getSlotShare: (model: string) => number;
 }
 
 /**
@@ -45,13 +48,15 @@
  * first token also takes a round trip and one decoding step of a full engine.
  */
 const FIRST_TOKEN_TARGET_MS = Decisions.DEFAULT_TARGET_MS + 60;
-const MIN_RUNNING = 8;
+const MIN_CONCURRENT_GENERATIONS = 8;
 /** Streams of one router process at most; memory of a stream is in docs/CAPACITY.md. */
-const MAX_RUNNING = 8_192;
+const MAX_CONCURRENT_GENERATIONS = 8_192;
 
-export function createAdmissionGate(options: AdmissionGateOptions): AdmissionGate {
+export function createAdmissionController(
+  options: AdmissionControllerOptions,
+): AdmissionController {
   const { getNowMs } = options;
-  const waiting = new Map<Ticket, (outcome: GateOutcome) => void>();
+  const resolversByTicket = new Map<Ticket, (outcome: AdmissionOutcome) => void>();
   let timer: NodeJS.Timeout | undefined;
   const admission = Decisions.createAdmission({
     nextRandom: options.nextRandom,
@@ -59,20 +64,20 @@
     createLimit: (model) =>
       Decisions.createConcurrencyLimit({
         initial: Math.max(
-          MIN_RUNNING,
-          Math.min(MAX_RUNNING, Math.ceil(options.getFairSlots(model))),
+          MIN_CONCURRENT_GENERATIONS,
+          Math.min(MAX_CONCURRENT_GENERATIONS, Math.ceil(options.getSlotShare(model))),
         ),
-        min: MIN_RUNNING,
-        max: MAX_RUNNING,
+        min: MIN_CONCURRENT_GENERATIONS,
+        max: MAX_CONCURRENT_GENERATIONS,
         targetMs: FIRST_TOKEN_TARGET_MS,
       }),
   });
 
-  function runTickets(): void {
+  function resolveTickets(): void {
     for (const { ticket, outcome } of admission.takeNext(getNowMs())) {
-      const wake = waiting.get(ticket);
-      waiting.delete(ticket);
-      wake?.(outcome);
+      const resolveWait = resolversByTicket.get(ticket);
+      resolversByTicket.delete(ticket);
+      resolveWait?.(outcome);
     }
     setTimer();
   }
@@ -81,18 +86,18 @@
     clearTimeout(timer);
     const deadlineMs = admission.getNextDeadlineMs();
     if (deadlineMs === undefined) return;
-    timer = setTimeout(runTickets, Math.max(1, deadlineMs - getNowMs()));
+    timer = setTimeout(resolveTickets, Math.max(1, deadlineMs - getNowMs()));
   }
 
-  async function waitForTicket(ticket: Ticket, signal: AbortSignal): Promise<GateOutcome> {
+  async function waitForTicket(ticket: Ticket, signal: AbortSignal): Promise<AdmissionOutcome> {
     return new Promise((resolve) => {
       const cancel = () => {
-        waiting.delete(ticket);
+        resolversByTicket.delete(ticket);
         admission.removeTicket(ticket);
         resolve({ kind: 'cancelled' });
       };
       signal.addEventListener('abort', cancel, { once: true });
-      waiting.set(ticket, (outcome) => {
+      resolversByTicket.set(ticket, (outcome) => {
         signal.removeEventListener('abort', cancel);
         resolve(outcome);
       });
@@ -102,19 +107,19 @@
 
   return {
     async waitForPermit(request, signal) {
-      const answer = admission.admitRequest(request, getNowMs());
-      return answer.kind === 'queued' ? waitForTicket(answer.ticket, signal) : answer;
+      const decision = admission.admitRequest(request, getNowMs());
+      return decision.kind === 'queued' ? waitForTicket(decision.ticket, signal) : decision;
     },
     recordFirstToken: (permit, ms) => admission.recordFirstToken(permit, ms, getNowMs()),
     releasePermit(permit, use) {
       admission.releasePermit(permit, use, getNowMs());
-      if (waiting.size > 0) runTickets();
+      if (resolversByTicket.size > 0) resolveTickets();
     },
     setCapacity(model, slots, busyShare) {
       admission.setCapacity(model, slots, busyShare);
-      if (waiting.size > 0) runTickets();
+      if (resolversByTicket.size > 0) resolveTickets();
     },
     close: () => clearTimeout(timer),
-    dumpLanes: () => admission.listModelQueues(),
+    dumpModelQueues: () => admission.listModelQueues(),
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/answer.ts
+++ b/packages/sequoiarill-plugin-generations/src/answer.ts
@@ -12,7 +12,7 @@
 import * as StopSequences from './stopSequences';
 
 const REPLACEMENT_CHARACTER = '\uFFFD';
-const NOTHING_CERTAIN: AnswerStep = { text: '', tokenCount: 0 };
+const EMPTY_STEP: AnswerStep = { text: '', tokenCount: 0 };
 
 /** One event of an engine's stream. */
 export interface EngineEvent {
@@ -35,11 +35,11 @@
 export interface Answer {
   readonly addEvents: (events: readonly EngineEvent[]) => AnswerStep;
   /** Ends the answer as the engine said; the step holds the last text. */
-  readonly finish: (finishReason: FinishReason) => AnswerStep;
+  readonly closeAnswer: (finishReason: FinishReason) => AnswerStep;
   /** Forgets pending ids, as their engine is gone. */
   readonly removePending: () => void;
   /** Prompt ids and certain output ids; undefined while no engine told the prompt's ids. */
-  readonly getContinuation: () => readonly number[] | undefined;
+  readonly getContinuationIds: () => readonly number[] | undefined;
   readonly getRemainingTokens: () => number;
   readonly getUsage: () => Usage;
   readonly hasTokens: () => boolean;
@@ -47,16 +47,16 @@
 
 export function createAnswer(maxOutputTokens: number, stops: readonly string[]): Answer {
   const scanner = StopSequences.createStopScanner(stops);
-  const certain: number[] = [];
-  let pending: number[] = [];
+  const confirmedIds: number[] = [];
+  let pendingIds: number[] = [];
   let pendingText = '';
   let promptIds: readonly number[] | undefined;
   let promptTokens = 0;
 
   function takePending(): number {
-    const tokenCount = pending.length;
-    certain.push(...pending);
-    pending = [];
+    const tokenCount = pendingIds.length;
+    confirmedIds.push(...pendingIds);
+    pendingIds = [];
     pendingText = '';
     return tokenCount;
   }
@@ -69,10 +69,10 @@
     if (promptIds === undefined && event.promptTokens !== undefined) {
       promptTokens = event.promptTokens;
     }
-    pending.push(...event.tokenIds);
+    pendingIds.push(...event.tokenIds);
     pendingText += event.text;
     // Incomplete characters come as no text or as the replacement character: not certain yet.
-    if (event.text === '' || event.text.endsWith(REPLACEMENT_CHARACTER)) return NOTHING_CERTAIN;
+    if (event.text === '' || event.text.endsWith(REPLACEMENT_CHARACTER)) return EMPTY_STEP;
     const text = pendingText;
     const tokenCount = takePending();
     const scan = scanner.addText(text);
@@ -104,14 +104,15 @@
 
   return {
     addEvents,
-    finish: closeAnswer,
+    closeAnswer,
     removePending() {
-      pending = [];
+      pendingIds = [];
       pendingText = '';
     },
-    getContinuation: () => (promptIds === undefined ? undefined : [...promptIds, ...certain]),
-    getRemainingTokens: () => maxOutputTokens - certain.length,
-    getUsage: () => ({ promptTokens, completionTokens: certain.length }),
-    hasTokens: () => certain.length > 0,
+    getContinuationIds: () =>
+      promptIds === undefined ? undefined : [...promptIds, ...confirmedIds],
+    getRemainingTokens: () => maxOutputTokens - confirmedIds.length,
+    getUsage: () => ({ promptTokens, completionTokens: confirmedIds.length }),
+    hasTokens: () => confirmedIds.length > 0,
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/attempt.ts
+++ b/packages/sequoiarill-plugin-generations/src/attempt.ts
@@ -9,8 +9,8 @@
 import * as Undici from 'undici';
 
 import type { EngineEvent } from './answer';
-import * as AttemptEnds from './attemptEnds';
-import type { AttemptEnd, AttemptLimits } from './attemptEnds';
+import * as AttemptResults from './attemptResults';
+import type { AttemptResult, AttemptLimits } from './attemptResults';
 import * as EngineEvents from './engineEvents';
 import type { EnginePool } from './enginePools';
 import * as ServerSentEvents from './serverSentEvents';
@@ -49,7 +49,7 @@
 /** Yields the events of each read together; what ended the attempt is the return value. */
 export async function* runAttempt(
   options: AttemptOptions,
-): AsyncGenerator<readonly EngineEvent[], AttemptEnd, void> {
+): AsyncGenerator<readonly EngineEvent[], AttemptResult, void> {
   if (options.signal.aborted) return { kind: 'cancelled' };
   const controller = new AbortController();
   const cancel = () => controller.abort();
@@ -68,10 +68,10 @@
     timer.start(options.limits.firstTokenMs);
     const response = await sendRequest(options, controller.signal);
     state.isSent = true;
-    if (response.statusCode !== HTTP_OK) return await AttemptEnds.readRefusal(response);
+    if (response.statusCode !== HTTP_OK) return await AttemptResults.readRefusal(response);
     return yield* relayBody(response, options, state, timer);
   } catch (error) {
-    return decideEnd(error as NodeJS.ErrnoException, options, state);
+    return decideResult(error as NodeJS.ErrnoException, options, state);
   } finally {
     timer.close();
     options.signal.removeEventListener('abort', cancel);
@@ -85,7 +85,7 @@
   options: AttemptOptions,
   state: AttemptState,
   timer: StallTimers.StallTimer,
-): AsyncGenerator<readonly EngineEvent[], AttemptEnd, void> {
+): AsyncGenerator<readonly EngineEvent[], AttemptResult, void> {
   const { limits, getRunningMs, startedMs } = options;
   const splitter = ServerSentEvents.createEventSplitter();
   let waitingSinceMs = getRunningMs();
@@ -93,7 +93,7 @@
     timer.stop();
     const events = parseEvents(splitter.addBytes(bytes));
     if (events === undefined) {
-      return AttemptEnds.createLoss('broken', 'an event is malformed', true);
+      return AttemptResults.createLoss('broken', 'an event is malformed', true);
     }
     if (state.hasTokens) options.onGap(getRunningMs() - waitingSinceMs);
     updateState(state, events, () => options.onFirstToken(getRunningMs() - startedMs));
@@ -102,8 +102,8 @@
     waitingSinceMs = getRunningMs();
     timer.start(state.hasTokens ? limits.gapMs : limits.firstTokenMs);
   }
-  if (state.finishReason !== undefined) return AttemptEnds.createFinished(state.finishReason);
-  return AttemptEnds.createLoss('endedEarly', 'the stream ended before the answer', true);
+  if (state.finishReason !== undefined) return AttemptResults.createFinished(state.finishReason);
+  return AttemptResults.createLoss('endedEarly', 'the stream ended before the answer', true);
 }
 
 function parseEvents(datas: readonly string[] | undefined): readonly EngineEvent[] | undefined {
@@ -132,16 +132,16 @@
   }
 }
 
-function decideEnd(
+function decideResult(
   error: NodeJS.ErrnoException,
   options: AttemptOptions,
   state: AttemptState,
-): AttemptEnd {
+): AttemptResult {
   // The event with the finish reason follows the last token: the answer is whole.
-  if (state.finishReason !== undefined) return AttemptEnds.createFinished(state.finishReason);
+  if (state.finishReason !== undefined) return AttemptResults.createFinished(state.finishReason);
   if (options.signal.aborted) return { kind: 'cancelled' };
-  if (state.isStalled) return AttemptEnds.createStall(options.limits, state.hasTokens);
-  return AttemptEnds.createConnectionLoss(error, state.isSent);
+  if (state.isStalled) return AttemptResults.createStallLoss(options.limits, state.hasTokens);
+  return AttemptResults.createConnectionLoss(error, state.isSent);
 }
 
 async function sendRequest(options: AttemptOptions, signal: AbortSignal): Promise<Response> {
--- a/packages/sequoiarill-plugin-generations/src/attemptEnds.ts
+++ b/packages/sequoiarill-plugin-generations/src/attemptResults.ts
@@ -34,7 +34,7 @@
   readonly kind: 'cancelled';
 }
 
-export type AttemptEnd =
+export type AttemptResult =
   AttemptFinished | AttemptLost | AttemptBusy | AttemptRejected | AttemptCancelled;
 
 /** How long the engine may keep the relay waiting, in milliseconds. */
@@ -48,21 +48,21 @@
  * Answers that mean nothing was taken on: no such model any more, an old fencing number, a limit,
  * or no room. Another engine may still take the request.
  */
-const NOT_TAKEN = new Set([404, 409, 429, 503]);
+const RETRYABLE_STATUS_CODES = new Set([404, 409, 429, 503]);
 const MAX_ERROR_BYTES = 65_536;
-const DEFAULT_RETRY_SECONDS = 1;
+const DEFAULT_RETRY_AFTER_SECONDS = 1;
 /** Code of undici's error for a connection that was not made in time. */
-const CONNECT_TIMEOUT = 'UND_ERR_CONNECT_TIMEOUT';
+const CONNECT_TIMEOUT_CODE = 'UND_ERR_CONNECT_TIMEOUT';
 
 type Response = Undici.Dispatcher.ResponseData;
 
 /** An answer other than 200: the engine did not take the request on. */
-export async function readRefusal(response: Response): Promise<AttemptEnd> {
+export async function readRefusal(response: Response): Promise<AttemptResult> {
   const text = await readLimited(response);
   const { statusCode } = response;
-  if (NOT_TAKEN.has(statusCode)) {
-    const seconds = Number(response.headers['retry-after'] ?? DEFAULT_RETRY_SECONDS);
-    return { kind: 'busy', retryAfterSeconds: seconds > 0 ? seconds : DEFAULT_RETRY_SECONDS };
+  if (RETRYABLE_STATUS_CODES.has(statusCode)) {
+    const seconds = Number(response.headers['retry-after'] ?? DEFAULT_RETRY_AFTER_SECONDS);
+    return { kind: 'busy', retryAfterSeconds: seconds > 0 ? seconds : DEFAULT_RETRY_AFTER_SECONDS };
   }
   if (statusCode >= HTTP_SERVER_ERROR) {
     return createLoss('broken', `the engine answered ${statusCode}`, true);
@@ -71,14 +71,14 @@
 }
 
 async function readLimited(response: Response): Promise<string> {
-  const parts: Uint8Array[] = [];
-  let size = 0;
+  const chunks: Uint8Array[] = [];
+  let sizeBytes = 0;
   for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
-    size += bytes.length;
-    if (size > MAX_ERROR_BYTES) break;
-    parts.push(bytes);
+    sizeBytes += bytes.length;
+    if (sizeBytes > MAX_ERROR_BYTES) break;
+    chunks.push(bytes);
   }
-  return Buffer.concat(parts).toString('utf8');
+  return Buffer.concat(chunks).toString('utf8');
 }
 
 function parseError(text: string): { readonly message: string; readonly parameter?: string } {
@@ -95,7 +95,7 @@
   return { kind: 'lost', cause, message, mayHaveRun };
 }
 
-export function createStall(limits: AttemptLimits, hasTokens: boolean): AttemptLost {
+export function createStallLoss(limits: AttemptLimits, hasTokens: boolean): AttemptLost {
   return hasTokens
     ? createLoss('stalled', `no token for ${Math.round(limits.gapMs)} ms`, true)
     : createLoss('noFirstToken', `no first token in ${Math.round(limits.firstTokenMs)} ms`, true);
@@ -107,7 +107,7 @@
  * connection whose route breaks ends with `EHOSTUNREACH` as well, from another system call.
  */
 export function createConnectionLoss(error: NodeJS.ErrnoException, isSent: boolean): AttemptLost {
-  const isConnect = error.code === CONNECT_TIMEOUT || error.syscall === 'connect';
+  const isConnect = error.code === CONNECT_TIMEOUT_CODE || error.syscall === 'connect';
   return !isSent && isConnect
     ? createLoss('refused', error.message, false)
     : createLoss('reset', error.message, true);
--- a/packages/sequoiarill-plugin-generations/src/capacityTask.ts
+++ b/packages/sequoiarill-plugin-generations/src/capacityTask.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock, ConfigurationReader, EngineTarget, Membership } from '@sequoiarill/types';
 
-import type { AdmissionGate } from './admissionGate';
+import type { AdmissionController } from './admissionController';
 import type { LoadPoller } from './loadPoller';
 import * as LoadPollers from './loadPoller';
 import type { ServingTargets } from './servingTargets';
@@ -20,12 +20,12 @@
   readonly membership: Pick<Membership, 'listPeers'>;
   readonly serving: ServingTargets;
   readonly targets: Targets;
-  readonly gate: AdmissionGate;
+  readonly admission: AdmissionController;
   readonly poller: LoadPoller;
 }
 
 /** How often admission hears of engines lost and won. */
-const CAPACITY_MS = 250;
+const CAPACITY_UPDATE_INTERVAL_MS = 250;
 
 export async function runCapacityTask(
   options: CapacityTaskOptions,
@@ -34,7 +34,7 @@
   while (!signal.aborted) {
     options.serving.setRouters(listRouters(options, true));
     updateCapacity(options);
-    await options.clock.waitMs(CAPACITY_MS, signal);
+    await options.clock.waitMs(CAPACITY_UPDATE_INTERVAL_MS, signal);
   }
 }
 
@@ -45,19 +45,19 @@
 ): Promise<void> {
   while (!signal.aborted) {
     await options.poller.runRound(listEngines(options), listRouters(options, true));
-    await options.clock.waitMs(LoadPollers.POLL_MS, signal);
+    await options.clock.waitMs(LoadPollers.POLL_INTERVAL_MS, signal);
   }
 }
 
 /** Routers that serve now, this one among them; of the own zone only, or of all zones. */
 function listRouters(
   { membership, zone, routerName }: CapacityTaskOptions,
-  isOfZone: boolean,
+  isZoneOnly: boolean,
 ): readonly string[] {
   const others = membership
     .listPeers()
     .filter((peer) => peer.state === 'alive' && peer.name !== routerName)
-    .filter((peer) => !isOfZone || peer.zone === zone);
+    .filter((peer) => !isZoneOnly || peer.zone === zone);
   return [routerName, ...others.map(({ name }) => name)].sort();
 }
 
@@ -70,10 +70,10 @@
 
 /** A router may use engines of every zone, so the routers of every zone share their slots. */
 function updateCapacity(options: CapacityTaskOptions): void {
-  const { configuration, targets, gate } = options;
+  const { configuration, targets, admission } = options;
   const routers = listRouters(options, false).length;
   for (const model of configuration.getConfiguration().models.values()) {
     const { slots, busyShare } = targets.getCapacity(model);
-    gate.setCapacity(model.name, slots / routers, busyShare);
+    admission.setCapacity(model.name, slots / routers, busyShare);
   }
 }
--- a/packages/sequoiarill-plugin-generations/src/engineCalls.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineCalls.ts
@@ -4,7 +4,7 @@
 import * as Attempts from './attempt';
 import type { EnginePools } from './enginePools';
 import * as EngineRequests from './engineRequests';
-import type { AttemptOrder, GenerationParts } from './generation';
+import type { Attempt, GenerationDependencies } from './generation';
 import type { Targets } from './targets';
 
 export interface EngineCallsOptions {
@@ -13,7 +13,7 @@
   readonly clock: Pick<Clock, 'getRunningMs'>;
 }
 
-export type EngineCalls = Pick<GenerationParts, 'runAttempt' | 'cancelAttempt'>;
+export type EngineCalls = Pick<GenerationDependencies, 'runAttempt' | 'cancelAttempt'>;
 
 /** A cancel that no engine answers in this time is given up; the engine's own hold ends the work. */
 const CANCEL_TIMEOUT_MS = 2_000;
@@ -21,41 +21,41 @@
 export function createEngineCalls(options: EngineCallsOptions): EngineCalls {
   const { pools, targets, clock } = options;
 
-  function cancelAttempt(order: AttemptOrder): void {
-    const { dispatcher, origin } = pools.getPool(order.target);
+  function cancelAttempt(attempt: Attempt): void {
+    const { dispatcher, origin } = pools.getPool(attempt.target);
     dispatcher
       .request({
         origin,
-        path: EngineRequests.createCancelPath(order.request.requestId),
+        path: EngineRequests.createCancelPath(attempt.request.requestId),
         method: 'POST',
-        headers: { 'x-fencing-number': String(order.generation) },
+        headers: { 'x-fencing-number': String(attempt.generation) },
         signal: AbortSignal.timeout(CANCEL_TIMEOUT_MS),
       })
       .then((response) => response.body.dump())
       .catch(() => undefined);
   }
 
-  async function* runAttempt(order: AttemptOrder): ReturnType<GenerationParts['runAttempt']> {
-    const { target, request } = order;
-    targets.recordDispatch(order);
+  async function* runAttempt(attempt: Attempt): ReturnType<GenerationDependencies['runAttempt']> {
+    const { target, request } = attempt;
+    targets.recordDispatch(attempt);
     pools.addInFlight(target.name, 1);
     try {
       return yield* Attempts.runAttempt({
         target,
         pool: pools.getPool(target),
-        ...EngineRequests.createEngineRequest(order),
+        ...EngineRequests.createEngineRequest(attempt),
         requestId: request.requestId,
-        fencingNumber: order.generation,
-        limits: targets.getLimits(order),
+        fencingNumber: attempt.generation,
+        limits: targets.getLimits(attempt),
         signal: request.signal,
         getRunningMs: clock.getRunningMs,
         startedMs: clock.getRunningMs(),
-        onFirstToken: (ms) => targets.recordFirstToken(order, ms),
-        onGap: (ms) => targets.recordGap(order, ms),
+        onFirstToken: (ms) => targets.recordFirstToken(attempt, ms),
+        onGap: (ms) => targets.recordGap(attempt, ms),
       });
     } finally {
       pools.addInFlight(target.name, -1);
-      targets.recordEnd(order);
+      targets.recordEnd(attempt);
     }
   }
 
--- a/packages/sequoiarill-plugin-generations/src/enginePools.ts
+++ b/packages/sequoiarill-plugin-generations/src/enginePools.ts
@@ -22,16 +22,16 @@
   readonly maxConnections: number;
 }
 
-interface Entry extends EnginePool {
+interface PoolEntry extends EnginePool {
   readonly address: string;
   readonly pool: Undici.Pool;
 }
 
 export function createEnginePools(options: EnginePoolOptions): EnginePools {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, PoolEntry>();
   const inFlight = new Map<string, number>();
 
-  function openEntry(target: EngineTarget): Entry {
+  function openEntry(target: EngineTarget): PoolEntry {
     const origin = `http://${target.address}`;
     // Headers and body have no limits here: the attempt's own limits know what it waits for.
     const pool = new Undici.Pool(origin, {
@@ -40,21 +40,21 @@
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    const entry: Entry = { address: target.address, pool, dispatcher: pool, origin };
+    const entry: PoolEntry = { address: target.address, pool, dispatcher: pool, origin };
     entries.set(target.name, entry);
     return entry;
   }
 
-  function closeEntry(name: string, entry: Entry): void {
+  function closeEntry(name: string, entry: PoolEntry): void {
     entries.delete(name);
     entry.pool.close().catch(() => undefined);
   }
 
   return {
     getPool(target) {
-      const known = entries.get(target.name);
-      if (known !== undefined && known.address === target.address) return known;
-      if (known !== undefined) closeEntry(target.name, known);
+      const existing = entries.get(target.name);
+      if (existing !== undefined && existing.address === target.address) return existing;
+      if (existing !== undefined) closeEntry(target.name, existing);
       return openEntry(target);
     },
     getInFlight: (target) => inFlight.get(target) ?? 0,
--- a/packages/sequoiarill-plugin-generations/src/engineRequests.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineRequests.ts
@@ -1,7 +1,7 @@
 /** What is sent to an engine: a chat completion at the start, a completion by token ids after. */
 import type { EngineTarget, Model } from '@sequoiarill/types';
 
-import type { AttemptOrder } from './generation';
+import type { Attempt } from './generation';
 
 const CHAT_PATH = '/v1/chat/completions';
 const COMPLETION_PATH = '/v1/completions';
@@ -20,11 +20,11 @@
   return target.models.find((served) => served === pinned || served === model.name);
 }
 
-export function createEngineRequest(order: AttemptOrder): EngineRequest {
-  const { request, target, model } = order;
+export function createEngineRequest(attempt: Attempt): EngineRequest {
+  const { request, target, model } = attempt;
   const shared = {
     model: findServedName(target, model) ?? model.name,
-    max_tokens: order.maxTokens,
+    max_tokens: attempt.maxTokens,
     stream: true,
     stream_options: { include_usage: true },
     return_token_ids: true,
@@ -34,9 +34,9 @@
     ...(request.seed !== undefined && { seed: request.seed }),
   };
   // Stop sequences stay with the relay: an engine sees only its part of the answer's text.
-  return order.tokenIds === undefined
+  return attempt.tokenIds === undefined
     ? { path: CHAT_PATH, body: { ...shared, messages: request.messages } }
-    : { path: COMPLETION_PATH, body: { ...shared, prompt: order.tokenIds } };
+    : { path: COMPLETION_PATH, body: { ...shared, prompt: attempt.tokenIds } };
 }
 
 export function createCancelPath(requestId: string): string {
--- a/packages/sequoiarill-plugin-generations/src/generation.ts
+++ b/packages/sequoiarill-plugin-generations/src/generation.ts
@@ -14,12 +14,12 @@
 } from '@sequoiarill/types';
 
 import type { AnswerStep, EngineEvent } from './answer';
-import type { AttemptBusy, AttemptEnd, AttemptLost } from './attemptEnds';
+import type { AttemptBusy, AttemptResult, AttemptLost } from './attemptResults';
 import * as Progresses from './progress';
 import type { Progress } from './progress';
 
 /** What is asked of one engine. */
-export interface AttemptOrder {
+export interface Attempt {
   readonly request: GenerationRequest;
   readonly model: Model;
   readonly target: EngineTarget;
@@ -41,21 +41,21 @@
   readonly purpose: 'first' | 'continuation';
 }
 
-export interface GenerationParts {
+export interface GenerationDependencies {
   readonly chooseTarget: (query: TargetQuery) => TargetDecision;
   readonly runAttempt: (
-    order: AttemptOrder,
-  ) => AsyncGenerator<readonly EngineEvent[], AttemptEnd, void>;
+    attempt: Attempt,
+  ) => AsyncGenerator<readonly EngineEvent[], AttemptResult, void>;
   /** Tells an engine that nobody wants the attempt any more; best effort, never awaited. */
-  readonly cancelAttempt: (order: AttemptOrder) => void;
+  readonly cancelAttempt: (attempt: Attempt) => void;
   /** Whether another engine may be asked; false when the retry budget is spent. */
   readonly takeRetry: (query: TargetQuery) => boolean;
   /** Waits for the place of a continuation among the others that were lost with it. */
-  readonly waitForStart: (order: AttemptOrder) => Promise<void>;
+  readonly waitForStart: (attempt: Attempt) => Promise<void>;
   readonly journal: Journal;
-  readonly onLost: (order: AttemptOrder, loss: AttemptLost) => void;
-  readonly onBusy: (order: AttemptOrder, busy: AttemptBusy) => void;
-  readonly onResumed: (order: AttemptOrder, resumeMs: number) => void;
+  readonly onLost: (attempt: Attempt, loss: AttemptLost) => void;
+  readonly onBusy: (attempt: Attempt, busy: AttemptBusy) => void;
+  readonly onResumed: (attempt: Attempt, resumeMs: number) => void;
   readonly getNowMs: () => number;
 }
 
@@ -67,32 +67,32 @@
 export async function* runGeneration(
   request: GenerationRequest,
   model: Model,
-  parts: GenerationParts,
+  dependencies: GenerationDependencies,
 ): AsyncGenerator<TokenBatch, GenerationOutcome, void> {
   const progress = Progresses.createProgress(request);
   for (;;) {
     const purpose = progress.answer.hasTokens() ? 'continuation' : 'first';
     const query: TargetQuery = { request, model, excluded: progress.getExcluded(), purpose };
-    const mayTry = progress.getGeneration() === 0 || parts.takeRetry(query);
+    const mayTry = progress.getGeneration() === 0 || dependencies.takeRetry(query);
     if (request.signal.aborted) return progress.createCancelled();
-    if (!mayTry) return progress.createGivenUp('overloaded', 'too many engines failed at once');
-    const decision = parts.chooseTarget(query);
+    if (!mayTry) return progress.createFailure('overloaded', 'too many engines failed at once');
+    const decision = dependencies.chooseTarget(query);
     if (decision.kind === 'none') {
       progress.setRetryAfter(decision.retryAfterSeconds);
-      return progress.createGivenUp('noTarget', decision.reason);
+      return progress.createFailure('noTarget', decision.reason);
     }
-    const order = createOrder(query, decision.target, progress);
-    if (purpose === 'continuation') await parts.waitForStart(order);
-    recordDispatch(order, decision.reason, parts);
-    const end = yield* relayAttempt(order, progress, parts);
-    const outcome = decideOutcome(end, order, progress, parts);
+    const attempt = createAttempt(query, decision.target, progress);
+    if (purpose === 'continuation') await dependencies.waitForStart(attempt);
+    recordDispatch(attempt, decision.reason, dependencies);
+    const result = yield* relayAttempt(attempt, progress, dependencies);
+    const outcome = decideOutcome(result, attempt, progress, dependencies);
     if (outcome !== undefined) return outcome;
   }
 }
 
-function createOrder(query: TargetQuery, target: EngineTarget, progress: Progress): AttemptOrder {
+function createAttempt(query: TargetQuery, target: EngineTarget, progress: Progress): Attempt {
   const { request, model, purpose } = query;
-  const tokenIds = purpose === 'continuation' ? progress.answer.getContinuation() : undefined;
+  const tokenIds = purpose === 'continuation' ? progress.answer.getContinuationIds() : undefined;
   return {
     request,
     model,
@@ -103,119 +103,131 @@
   };
 }
 
-function recordDispatch(order: AttemptOrder, reason: string, parts: GenerationParts): void {
-  parts.journal.recordDecision(order.request.requestId, 'dispatched', reason, {
-    target: order.target.name,
-    generation: order.generation,
-    tokensGiven: order.tokenIds?.length ?? 0,
-    tokensWanted: order.maxTokens,
+function recordDispatch(
+  attempt: Attempt,
+  reason: string,
+  dependencies: GenerationDependencies,
+): void {
+  dependencies.journal.recordDecision(attempt.request.requestId, 'dispatched', reason, {
+    target: attempt.target.name,
+    generation: attempt.generation,
+    tokensGiven: attempt.tokenIds?.length ?? 0,
+    tokensWanted: attempt.maxTokens,
   });
 }
 
 /** Yields what becomes certain; ends when the attempt does or the answer is complete. */
 async function* relayAttempt(
-  order: AttemptOrder,
+  attempt: Attempt,
   progress: Progress,
-  parts: GenerationParts,
-): AsyncGenerator<TokenBatch, AttemptEnd, void> {
-  const attempt = parts.runAttempt(order);
+  dependencies: GenerationDependencies,
+): AsyncGenerator<TokenBatch, AttemptResult, void> {
+  const events = dependencies.runAttempt(attempt);
   let isWanted = true;
   try {
     for (;;) {
-      const next = await attempt.next();
+      const next = await events.next();
       isWanted = next.done !== true;
-      if (next.done) return yield* relayEnd(next.value, order, progress);
+      if (next.done) return yield* relayResult(next.value, attempt, progress);
       const step = progress.answer.addEvents(next.value);
-      if (step.tokenCount > 0) reportResume(order, progress, parts);
-      if (hasContent(step)) yield createBatch(step, order);
+      if (step.tokenCount > 0) reportResume(attempt, progress, dependencies);
+      if (hasContent(step)) yield createBatch(step, attempt);
       if (step.finishReason !== undefined) return createFinished(step.finishReason);
     }
   } finally {
     // Left while the engine still generates: a stop sequence ended the answer, or nobody reads it.
-    if (isWanted) parts.cancelAttempt(order);
-    await attempt.return({ kind: 'cancelled' });
+    if (isWanted) dependencies.cancelAttempt(attempt);
+    await events.return({ kind: 'cancelled' });
   }
 }
 
-async function* relayEnd(
-  end: AttemptEnd,
-  order: AttemptOrder,
+async function* relayResult(
+  result: AttemptResult,
+  attempt: Attempt,
   progress: Progress,
-): AsyncGenerator<TokenBatch, AttemptEnd, void> {
+): AsyncGenerator<TokenBatch, AttemptResult, void> {
   // The last token had arrived; only the word that it was the last is lost with the engine.
-  const isAtLimit = end.kind === 'lost' && progress.answer.getRemainingTokens() <= 0;
-  if (end.kind !== 'finished' && !isAtLimit) return end;
-  const step = progress.answer.finish(end.kind === 'finished' ? end.finishReason : 'length');
-  if (hasContent(step)) yield createBatch(step, order);
+  const isAtLimit = result.kind === 'lost' && progress.answer.getRemainingTokens() <= 0;
+  if (result.kind !== 'finished' && !isAtLimit) return result;
+  const step = progress.answer.closeAnswer(
+    result.kind === 'finished' ? result.finishReason : 'length',
+  );
+  if (hasContent(step)) yield createBatch(step, attempt);
   return createFinished(step.finishReason ?? 'length');
 }
 
-function reportResume(order: AttemptOrder, progress: Progress, parts: GenerationParts): void {
+function reportResume(
+  attempt: Attempt,
+  progress: Progress,
+  dependencies: GenerationDependencies,
+): void {
   const lostAtMs = progress.takeLostAtMs();
-  if (lostAtMs !== undefined) parts.onResumed(order, parts.getNowMs() - lostAtMs);
+  if (lostAtMs !== undefined) dependencies.onResumed(attempt, dependencies.getNowMs() - lostAtMs);
 }
 
 /** Undefined: another engine is to be tried. */
 function decideOutcome(
-  end: AttemptEnd,
-  order: AttemptOrder,
+  result: AttemptResult,
+  attempt: Attempt,
   progress: Progress,
-  parts: GenerationParts,
+  dependencies: GenerationDependencies,
 ): GenerationOutcome | undefined {
-  switch (end.kind) {
+  switch (result.kind) {
     case 'finished':
-      return progress.createCompleted(end.finishReason);
+      return progress.createCompleted(result.finishReason);
     case 'cancelled':
-      parts.cancelAttempt(order);
+      dependencies.cancelAttempt(attempt);
       return progress.createCancelled();
     case 'busy':
-      return handleBusy(end, order, progress, parts);
+      return handleBusy(result, attempt, progress, dependencies);
     case 'lost':
-      return handleLoss(end, order, progress, parts);
+      return handleLoss(result, attempt, progress, dependencies);
     case 'rejected':
       // A refused continuation is no fault of the caller, who has part of the answer already.
-      return progress.hasMaybeRun() ? progress.createGivenUp('noTarget', end.message) : end;
+      return progress.hasPossiblyRun()
+        ? progress.createFailure('noTarget', result.message)
+        : result;
     default:
       throw new Error('an attempt ended in no known way');
   }
 }
 
 function handleBusy(
-  end: AttemptBusy,
-  order: AttemptOrder,
+  result: AttemptBusy,
+  attempt: Attempt,
   progress: Progress,
-  parts: GenerationParts,
+  dependencies: GenerationDependencies,
 ): GenerationOutcome | undefined {
-  const refusals = progress.addRefusal(order.target.name, end.retryAfterSeconds);
-  parts.onBusy(order, end);
+  const refusals = progress.addRefusal(attempt.target.name, result.retryAfterSeconds);
+  dependencies.onBusy(attempt, result);
   if (refusals <= MAX_REFUSALS) return undefined;
-  return progress.createGivenUp('overloaded', 'every engine asked is full');
+  return progress.createFailure('overloaded', 'every engine asked is full');
 }
 
 function handleLoss(
   loss: AttemptLost,
-  order: AttemptOrder,
+  attempt: Attempt,
   progress: Progress,
-  parts: GenerationParts,
+  dependencies: GenerationDependencies,
 ): GenerationOutcome | undefined {
-  const losses = progress.addLoss(order.target.name, loss, parts.getNowMs());
-  parts.onLost(order, loss);
-  parts.journal.recordDecision(order.request.requestId, 'generationLost', loss.message, {
-    target: order.target.name,
+  const losses = progress.addLoss(attempt.target.name, loss, dependencies.getNowMs());
+  dependencies.onLost(attempt, loss);
+  dependencies.journal.recordDecision(attempt.request.requestId, 'generationLost', loss.message, {
+    target: attempt.target.name,
     cause: loss.cause,
     tokensCertain: progress.answer.getUsage().completionTokens,
   });
   if (losses > MAX_LOSSES) {
-    return progress.createGivenUp('noTarget', 'one engine after another was lost');
+    return progress.createFailure('noTarget', 'one engine after another was lost');
   }
-  if (progress.answer.hasTokens() && progress.answer.getContinuation() === undefined) {
+  if (progress.answer.hasTokens() && progress.answer.getContinuationIds() === undefined) {
     const message = 'the engine told no token ids, so that no other can go on';
-    return progress.createGivenUp('noTarget', message);
+    return progress.createFailure('noTarget', message);
   }
   return undefined;
 }
 
-function createFinished(finishReason: FinishReason): AttemptEnd {
+function createFinished(finishReason: FinishReason): AttemptResult {
   return { kind: 'finished', finishReason };
 }
 
@@ -223,6 +235,6 @@
   return step.text !== '' || step.tokenCount > 0;
 }
 
-function createBatch(step: AnswerStep, order: AttemptOrder): TokenBatch {
-  return { text: step.text, tokenCount: step.tokenCount, generation: order.generation };
+function createBatch(step: AnswerStep, attempt: Attempt): TokenBatch {
+  return { text: step.text, tokenCount: step.tokenCount, generation: attempt.generation };
 }
--- a/packages/sequoiarill-plugin-generations/src/loadPoller.ts
+++ b/packages/sequoiarill-plugin-generations/src/loadPoller.ts
@@ -12,9 +12,9 @@
 import type { EnginePools } from './enginePools';
 
 /** Reports fade within seconds; asking more often would spend control bytes on noise. */
-export const POLL_MS = 2_000;
+export const POLL_INTERVAL_MS = 2_000;
 /** An answer later than this says nothing of now. */
-const ANSWER_TIMEOUT_MS = 900;
+const RESPONSE_TIMEOUT_MS = 900;
 const HTTP_OK = 200;
 
 const loadSchema = Zod.object({
@@ -38,11 +38,11 @@
 }
 
 export function createLoadPoller(options: LoadPollerOptions): LoadPoller {
-  const part = Decisions.createTargetSet({ routerName: options.routerName, size: 1 });
+  const targetSet = Decisions.createTargetSet({ routerName: options.routerName, size: 1 });
 
   async function readLoad(engine: EngineTarget): Promise<void> {
     const { dispatcher, origin } = options.pools.getPool(engine);
-    const signal = AbortSignal.timeout(ANSWER_TIMEOUT_MS);
+    const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MS);
     const response = await dispatcher.request({ origin, path: '/load', method: 'GET', signal });
     if (response.statusCode !== HTTP_OK) {
       await response.body.dump();
@@ -59,9 +59,9 @@
     async runRound(engines, routers) {
       const names = engines.map(({ name }) => name);
       const isAlone = routers.length < 2;
-      const asked = new Set(isAlone ? names : part.selectTargets(names, routers));
+      const selected = new Set(isAlone ? names : targetSet.selectTargets(names, routers));
       const reads = engines
-        .filter(({ name }) => asked.has(name))
+        .filter(({ name }) => selected.has(name))
         // An engine that does not answer is judged by the attempts sent to it, not by this.
         .map((engine) => readLoad(engine).catch(() => undefined));
       await Promise.all(reads);
--- a/packages/sequoiarill-plugin-generations/src/observer.ts
+++ b/packages/sequoiarill-plugin-generations/src/observer.ts
@@ -8,10 +8,10 @@
 } from '@sequoiarill/types';
 
 import * as Events from './events';
-import type { AttemptOrder, GenerationParts } from './generation';
+import type { Attempt, GenerationDependencies } from './generation';
 import type { Targets } from './targets';
 
-export interface Observer extends Pick<GenerationParts, 'onLost' | 'onBusy' | 'onResumed'> {
+export interface Observer extends Pick<GenerationDependencies, 'onLost' | 'onBusy' | 'onResumed'> {
   readonly recordStart: (request: GenerationRequest, permit: Permit) => void;
   readonly recordRefusal: (request: GenerationRequest, refused: Refused) => GenerationNotRun;
   readonly recordOutcome: (
@@ -23,7 +23,7 @@
 export function createObserver(
   context: PluginContext,
   targets: Targets,
-  cancelAttempt: (order: AttemptOrder) => void,
+  cancelAttempt: (attempt: Attempt) => void,
 ): Observer {
   const { journal, metrics, logEvent } = context;
   return {
@@ -47,32 +47,32 @@
       }
       return outcome;
     },
-    onLost(order, loss) {
-      const { requestId } = order.request;
-      const target = order.target.name;
-      targets.recordFailure(order);
+    onLost(attempt, loss) {
+      const { requestId } = attempt.request;
+      const target = attempt.target.name;
+      targets.recordFailure(attempt);
       // The engine may still be at work: what it does from now on is for nobody.
-      if (loss.cause === 'stalled' || loss.cause === 'noFirstToken') cancelAttempt(order);
+      if (loss.cause === 'stalled' || loss.cause === 'noFirstToken') cancelAttempt(attempt);
       metrics.addCount('generations.lost', 1, { cause: loss.cause });
       logEvent(Events.GENERATION_LOST, {
         requestId,
         target,
-        generation: order.generation,
+        generation: attempt.generation,
         cause: loss.cause,
         reason: loss.message,
       });
     },
-    onBusy(order) {
-      targets.recordBusy(order);
-      const { requestId } = order.request;
-      logEvent(Events.ENGINE_BUSY, { requestId, target: order.target.name });
+    onBusy(attempt) {
+      targets.recordBusy(attempt);
+      const { requestId } = attempt.request;
+      logEvent(Events.ENGINE_BUSY, { requestId, target: attempt.target.name });
     },
-    onResumed(order, resumeMs) {
-      const { requestId } = order.request;
+    onResumed(attempt, resumeMs) {
+      const { requestId } = attempt.request;
       metrics.recordTiming('generations.resume', resumeMs);
-      metrics.addCount('generations.tokensRecomputed', order.tokenIds?.length ?? 0);
+      metrics.addCount('generations.tokensRecomputed', attempt.tokenIds?.length ?? 0);
       journal.recordDecision(requestId, 'continued', 'the next token came from another engine', {
-        target: order.target.name,
+        target: attempt.target.name,
         resumeMs: Math.round(resumeMs),
       });
     },
--- a/packages/sequoiarill-plugin-generations/src/plugin.ts
+++ b/packages/sequoiarill-plugin-generations/src/plugin.ts
@@ -12,13 +12,13 @@
   Usage,
 } from '@sequoiarill/types';
 
-import * as AdmissionGates from './admissionGate';
+import * as AdmissionControllers from './admissionController';
 import * as CapacityTasks from './capacityTask';
 import * as EngineCalls from './engineCalls';
 import * as EnginePools from './enginePools';
 import * as Events from './events';
 import * as Generations from './generation';
-import type { GenerationParts } from './generation';
+import type { GenerationDependencies } from './generation';
 import * as LoadPollers from './loadPoller';
 import * as Observers from './observer';
 import * as Prompts from './prompts';
@@ -63,11 +63,11 @@
     nextRandom: context.nextRandom,
     getNowMs,
   });
-  const gate = AdmissionGates.createAdmissionGate({
+  const admission = AdmissionControllers.createAdmissionController({
     maxWaitMs: settings.maxQueueMs,
     nextRandom: context.nextRandom,
     getNowMs,
-    getFairSlots(name) {
+    getSlotShare(name) {
       const model = configuration.getConfiguration().models.get(name);
       const routers = Math.max(1, membership.listPeers().length);
       return model === undefined ? 0 : targets.getCapacity(model).slots / routers;
@@ -75,21 +75,21 @@
   });
   const retryBudget = Decisions.createRetryBudget(RETRY_BUDGET);
   const pacer = Decisions.createContinuationPacer();
-  const engines = EngineCalls.createEngineCalls({ pools, targets, clock });
-  const observer = Observers.createObserver(context, targets, engines.cancelAttempt);
+  const engineCalls = EngineCalls.createEngineCalls({ pools, targets, clock });
+  const observer = Observers.createObserver(context, targets, engineCalls.cancelAttempt);
   let running = 0;
 
-  const parts: GenerationParts = {
+  const dependencies: GenerationDependencies = {
     chooseTarget: targets.chooseTarget,
-    runAttempt: engines.runAttempt,
-    cancelAttempt: engines.cancelAttempt,
+    runAttempt: engineCalls.runAttempt,
+    cancelAttempt: engineCalls.cancelAttempt,
     // What has begun goes on in any case, paced; only fresh starts draw on the budget.
     takeRetry: (query) => query.purpose === 'continuation' || retryBudget.takeRetry(getNowMs()),
-    async waitForStart(order) {
-      const cost = order.tokenIds?.length ?? 0;
-      const { startAtMs } = pacer.reserveStart(getNowMs(), order.target.name, cost);
+    async waitForStart(attempt) {
+      const cost = attempt.tokenIds?.length ?? 0;
+      const { startAtMs } = pacer.reserveStart(getNowMs(), attempt.target.name, cost);
       const delayMs = startAtMs - getNowMs();
-      if (delayMs >= 1) await clock.waitMs(delayMs, order.request.signal);
+      if (delayMs >= 1) await clock.waitMs(delayMs, attempt.request.signal);
     },
     journal,
     getNowMs,
@@ -104,7 +104,7 @@
       const message = `model "${request.model}" is not configured`;
       return { kind: 'rejected', message, parameter: 'model' };
     }
-    const admitted = await gate.waitForPermit(createAdmissionRequest(request), request.signal);
+    const admitted = await admission.waitForPermit(createAdmissionRequest(request), request.signal);
     if (admitted.kind === 'cancelled') return { kind: 'cancelled', usage: NO_USAGE };
     if (admitted.kind === 'refused') return observer.recordRefusal(request, admitted);
     return yield* runAdmitted(request, model, admitted.permit);
@@ -117,15 +117,15 @@
   ): AsyncGenerator<TokenBatch, GenerationOutcome, void> {
     const startedMs = getNowMs();
     let outputTokens = 0;
-    let isWhole = false;
+    let isComplete = false;
     running += 1;
     retryBudget.recordRequest(startedMs);
     observer.recordStart(request, permit);
-    const generation = Generations.runGeneration(request, model, parts);
+    const generation = Generations.runGeneration(request, model, dependencies);
     try {
       for (;;) {
         const next = await generation.next();
-        isWhole = next.done === true && next.value.kind === 'completed';
+        isComplete = next.done === true && next.value.kind === 'completed';
         if (next.done) return observer.recordOutcome(request, next.value);
         if (outputTokens === 0) recordFirstToken(permit, getNowMs() - startedMs);
         outputTokens += next.value.tokenCount;
@@ -134,46 +134,46 @@
     } finally {
       await generation.return({ kind: 'cancelled', usage: NO_USAGE });
       running -= 1;
-      gate.releasePermit(permit, { outputTokens, isWhole });
+      admission.releasePermit(permit, { outputTokens, isWhole: isComplete });
       metrics.addCount('generations.tokens', outputTokens);
     }
   }
 
   function recordFirstToken(permit: Permit, ms: number): void {
-    gate.recordFirstToken(permit, ms);
+    admission.recordFirstToken(permit, ms);
     metrics.recordTiming('generations.firstToken', ms);
   }
 
-  const tasks = new AbortController();
+  const tasksController = new AbortController();
   const poller = LoadPollers.createLoadPoller({
     routerName: context.process.name,
     pools,
     reportTarget: membership.reportTarget,
   });
-  let ownTasks: readonly Promise<void>[] = [];
+  let backgroundTasks: readonly Promise<void>[] = [];
 
-  const unsubscribe = configuration.subscribeConfiguration(({ targets: known }) =>
-    pools.removeMissing(new Set(known.keys())),
+  const unsubscribe = configuration.subscribeConfiguration(({ targets: configuredTargets }) =>
+    pools.removeMissing(new Set(configuredTargets.keys())),
   );
   return {
     capabilities: { generations: { runGeneration } },
     async start() {
       const { name: routerName, zone } = context.process;
-      const shared = { clock, configuration, membership, serving, targets, gate, poller };
-      const task = { routerName, zone, ...shared };
-      ownTasks = [
-        CapacityTasks.runCapacityTask(task, tasks.signal),
-        CapacityTasks.runPollTask(task, tasks.signal),
+      const shared = { clock, configuration, membership, serving, targets, admission, poller };
+      const taskOptions = { routerName, zone, ...shared };
+      backgroundTasks = [
+        CapacityTasks.runCapacityTask(taskOptions, tasksController.signal),
+        CapacityTasks.runPollTask(taskOptions, tasksController.signal),
       ];
     },
     async stop() {
       unsubscribe();
-      tasks.abort();
-      await Promise.all(ownTasks);
-      gate.close();
+      tasksController.abort();
+      await Promise.all(backgroundTasks);
+      admission.close();
       await pools.close();
     },
-    dumpState: () => ({ running, lanes: gate.dumpLanes(), ...targets.dumpTargets() }),
+    dumpState: () => ({ running, lanes: admission.dumpModelQueues(), ...targets.dumpTargets() }),
   };
 }
 
--- a/packages/sequoiarill-plugin-generations/src/progress.ts
+++ b/packages/sequoiarill-plugin-generations/src/progress.ts
@@ -10,9 +10,9 @@
 
 import * as Answers from './answer';
 import type { Answer } from './answer';
-import type { AttemptLost } from './attemptEnds';
+import type { AttemptLost } from './attemptResults';
 
-const RETRY_SECONDS = 2;
+const DEFAULT_RETRY_AFTER_SECONDS = 2;
 
 export interface Progress {
   readonly answer: Answer;
@@ -26,14 +26,14 @@
   /** Returns how many engines refused. */
   readonly addRefusal: (target: string, retryAfterSeconds: number) => number;
   /** Whether an engine may have run any of it: from then on it is never said to be "not run". */
-  readonly hasMaybeRun: () => boolean;
+  readonly hasPossiblyRun: () => boolean;
   /** When the last engine was lost; undefined if tokens have flowed since. */
   readonly takeLostAtMs: () => number | undefined;
   readonly setRetryAfter: (seconds: number) => void;
   readonly createCompleted: (finishReason: FinishReason) => GenerationCompleted;
   readonly createCancelled: () => GenerationCancelled;
   /** The final answer of a request that is given up, told at once. */
-  readonly createGivenUp: (
+  readonly createFailure: (
     reason: GenerationNotRun['reason'],
     message: string,
   ) => GenerationLost | GenerationNotRun;
@@ -47,7 +47,7 @@
   let refusals = 0;
   let mayHaveRun = false;
   let lostAtMs: number | undefined;
-  let retryAfterSeconds = RETRY_SECONDS;
+  let retryAfterSeconds = DEFAULT_RETRY_AFTER_SECONDS;
 
   return {
     answer,
@@ -71,7 +71,7 @@
       retryAfterSeconds = seconds;
       return refusals;
     },
-    hasMaybeRun: () => mayHaveRun,
+    hasPossiblyRun: () => mayHaveRun,
     takeLostAtMs() {
       const since = lostAtMs;
       lostAtMs = undefined;
@@ -86,7 +86,7 @@
       usage: answer.getUsage(),
     }),
     createCancelled: () => ({ kind: 'cancelled', usage: answer.getUsage() }),
-    createGivenUp: (reason, message) =>
+    createFailure: (reason, message) =>
       mayHaveRun
         ? { kind: 'lost', message, usage: answer.getUsage(), retryAfterSeconds }
         : { kind: 'notRun', reason, message, retryAfterSeconds },
--- a/packages/sequoiarill-plugin-generations/src/prompts.ts
+++ b/packages/sequoiarill-plugin-generations/src/prompts.ts
@@ -6,7 +6,7 @@
 /** Common for subword vocabularies on European languages; only estimates rest on it. */
 const CHARACTERS_PER_TOKEN = 4;
 /** Prefixes longer than this many messages are told apart by their last ones anyway. */
-const MAX_PREFIXES = 6;
+const MAX_PREFIX_KEYS = 6;
 
 export function computePromptTokens(messages: readonly ChatMessage[]): number {
   const characters = messages.reduce((sum, message) => sum + message.content.length, 0);
@@ -21,5 +21,5 @@
     hash.update(`\u0000${message.role}\u0000${message.content}`);
     keys.unshift(hash.copy().digest('base64'));
   }
-  return keys.slice(0, MAX_PREFIXES);
+  return keys.slice(0, MAX_PREFIX_KEYS);
 }
--- a/packages/sequoiarill-plugin-generations/src/recentCounts.ts
+++ b/packages/sequoiarill-plugin-generations/src/recentCounts.ts
@@ -8,7 +8,7 @@
 
 const BUCKET_MS = 250;
 /** Older reports are not corrected but disregarded. */
-const KEPT_BUCKETS = 40;
+const MAX_BUCKETS = 40;
 
 interface Bucket {
   readonly startMs: number;
@@ -16,20 +16,20 @@
 }
 
 export interface RecentCounts {
-  readonly addOne: (target: string, nowMs: number) => void;
+  readonly addAttempt: (target: string, nowMs: number) => void;
   readonly countSince: (target: string, sinceMs: number) => number;
 }
 
 export function createRecentCounts(): RecentCounts {
   const bucketsByTarget = new Map<string, Bucket[]>();
   return {
-    addOne(target, nowMs) {
+    addAttempt(target, nowMs) {
       const buckets = bucketsByTarget.get(target) ?? [];
       const startMs = Math.floor(nowMs / BUCKET_MS) * BUCKET_MS;
       const last = buckets.at(-1);
       if (last?.startMs === startMs) last.count += 1;
       else buckets.push({ startMs, count: 1 });
-      if (buckets.length > KEPT_BUCKETS) buckets.shift();
+      if (buckets.length > MAX_BUCKETS) buckets.shift();
       bucketsByTarget.set(target, buckets);
     },
     countSince(target, sinceMs) {
--- a/packages/sequoiarill-plugin-generations/src/serverSentEvents.ts
+++ b/packages/sequoiarill-plugin-generations/src/serverSentEvents.ts
@@ -12,20 +12,24 @@
 
 export function createEventSplitter(): EventSplitter {
   const decoder = new TextDecoder();
-  let rest = '';
+  let buffered = '';
   return {
     addBytes(bytes) {
-      rest += decoder.decode(bytes, { stream: true });
-      const found: string[] = [];
+      buffered += decoder.decode(bytes, { stream: true });
+      const eventData: string[] = [];
       let start = 0;
-      for (let end = rest.indexOf(EVENT_END); end >= 0; end = rest.indexOf(EVENT_END, start)) {
-        if (rest.startsWith(DATA_PREFIX, start)) {
-          found.push(rest.slice(start + DATA_PREFIX.length, end));
+      for (
+        let end = buffered.indexOf(EVENT_END);
+        end >= 0;
+        end = buffered.indexOf(EVENT_END, start)
+      ) {
+        if (buffered.startsWith(DATA_PREFIX, start)) {
+          eventData.push(buffered.slice(start + DATA_PREFIX.length, end));
         }
         start = end + EVENT_END.length;
       }
-      rest = rest.slice(start);
-      return rest.length > MAX_EVENT_CHARACTERS ? undefined : found;
+      buffered = buffered.slice(start);
+      return buffered.length > MAX_EVENT_CHARACTERS ? undefined : eventData;
     },
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/servingTargets.ts
+++ b/packages/sequoiarill-plugin-generations/src/servingTargets.ts
@@ -11,7 +11,7 @@
 
 export interface ServingTargets {
   /** The router's own set. */
-  readonly listSet: (model: Model) => readonly EngineTarget[];
+  readonly listSelected: (model: Model) => readonly EngineTarget[];
   /** Routers that share the engines of the own zone changed; the sets are worked out anew. */
   readonly setRouters: (names: readonly string[]) => void;
   /** Every engine of the model, for a last resort. */
@@ -31,23 +31,23 @@
 
 interface ModelTargets {
   readonly all: readonly EngineTarget[];
-  readonly set: readonly EngineTarget[];
+  readonly selected: readonly EngineTarget[];
 }
 
 export function createServingTargets(options: ServingTargetsOptions): ServingTargets {
   const { routerName, zone, setSize, getConfiguration } = options;
-  const ownZone = Decisions.createTargetSet({ routerName, size: setSize });
+  const localZone = Decisions.createTargetSet({ routerName, size: setSize });
   const otherSize = Math.max(1, Math.ceil(setSize * OTHER_ZONES_SHARE));
   const otherZones = Decisions.createTargetSet({ routerName, size: otherSize });
-  let known: Configuration | undefined;
+  let cachedConfiguration: Configuration | undefined;
   let routers: readonly string[] = [];
   const byModel = new Map<string, ModelTargets>();
 
-  function selectSet(all: readonly EngineTarget[]): readonly EngineTarget[] {
-    const own = all.filter((target) => target.zone === zone).map((target) => target.name);
+  function selectTargets(all: readonly EngineTarget[]): readonly EngineTarget[] {
+    const local = all.filter((target) => target.zone === zone).map((target) => target.name);
     const others = all.filter((target) => target.zone !== zone).map((target) => target.name);
     const names = new Set([
-      ...ownZone.selectTargets(own, routers),
+      ...localZone.selectTargets(local, routers),
       ...otherZones.selectTargets(others),
     ]);
     return all.filter((target) => names.has(target.name));
@@ -55,8 +55,8 @@
 
   function getTargets(model: Model): ModelTargets {
     const configuration = getConfiguration();
-    if (configuration !== known) byModel.clear();
-    known = configuration;
+    if (configuration !== cachedConfiguration) byModel.clear();
+    cachedConfiguration = configuration;
     const key = `${model.name}@${model.version}`;
     const cached = byModel.get(key);
     if (cached !== undefined) return cached;
@@ -64,7 +64,7 @@
       (target): target is EngineTarget =>
         target.kind === 'engine' && EngineRequests.findServedName(target, model) !== undefined,
     );
-    const targets = { all, set: selectSet(all) };
+    const targets = { all, selected: selectTargets(all) };
     byModel.set(key, targets);
     return targets;
   }
@@ -75,7 +75,7 @@
       routers = names;
       byModel.clear();
     },
-    listSet: (model) => getTargets(model).set,
+    listSelected: (model) => getTargets(model).selected,
     listAll: (model) => getTargets(model).all,
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/stallTimer.ts
+++ b/packages/sequoiarill-plugin-generations/src/stallTimer.ts
@@ -33,11 +33,11 @@
     timer = undefined;
     if (waitingUntilMs === undefined) return;
     if (getRunningMs() < waitingUntilMs) setTimer(waitingUntilMs);
-    else Kernel.delayPastReads(handleDue);
+    else Kernel.delayPastReads(checkStall);
   }
 
   /** Unless the engine's bytes were read meanwhile. */
-  function handleDue(): void {
+  function checkStall(): void {
     if (waitingUntilMs === undefined) return;
     if (getRunningMs() >= waitingUntilMs) onStall();
     else if (timer === undefined) setTimer(waitingUntilMs);
--- a/packages/sequoiarill-plugin-generations/src/stopSequences.ts
+++ b/packages/sequoiarill-plugin-generations/src/stopSequences.ts
@@ -19,15 +19,15 @@
   let held = '';
 
   function addText(text: string): StopScan {
-    const all = held + text;
-    const firstStop = findFirstStop(all, stops);
+    const buffered = held + text;
+    const firstStop = findFirstStop(buffered, stops);
     if (firstStop !== undefined) {
       held = '';
-      return { released: all.slice(0, firstStop), stopped: true };
+      return { released: buffered.slice(0, firstStop), stopped: true };
     }
-    const keep = computeHeldLength(all, stops);
-    held = all.slice(all.length - keep);
-    return { released: all.slice(0, all.length - keep), stopped: false };
+    const heldLength = computeHeldLength(buffered, stops);
+    held = buffered.slice(buffered.length - heldLength);
+    return { released: buffered.slice(0, buffered.length - heldLength), stopped: false };
   }
 
   function takeHeld(): string {
--- a/packages/sequoiarill-plugin-generations/src/targetViews.ts
+++ b/packages/sequoiarill-plugin-generations/src/targetViews.ts
@@ -11,7 +11,7 @@
 import * as RecentCounts from './recentCounts';
 
 /** Engines are compared with their peers of the same model only. */
-export interface ModelKnowledge {
+export interface ModelStatistics {
   readonly stalls: StallPolicy;
   readonly outliers: OutlierDetector;
 }
@@ -23,7 +23,7 @@
 }
 
 export interface TargetViews {
-  readonly getKnowledge: (model: string) => ModelKnowledge;
+  readonly getStatistics: (model: string) => ModelStatistics;
   readonly createView: (target: EngineTarget, model: string, nowMs: number) => TargetView;
   readonly recordSent: (target: string, nowMs: number) => void;
   readonly recordEnd: (target: string, nowMs: number) => void;
@@ -38,29 +38,29 @@
  * An engine that failed is passed over for so long and then tried again by whatever comes: a dead
  * VM's replacement takes seconds at the least, and one stray request finds it.
  */
-const PASS_OVER_MS = 2_000;
+const FAILURE_COOLDOWN_MS = 2_000;
 
 export function createTargetViews(options: TargetViewsOptions): TargetViews {
   const { membership } = options;
-  const knowledgeByModel = new Map<string, ModelKnowledge>();
+  const statisticsByModel = new Map<string, ModelStatistics>();
   const failedAtMs = new Map<string, number>();
   const sent = RecentCounts.createRecentCounts();
   const ended = RecentCounts.createRecentCounts();
 
-  function getKnowledge(model: string): ModelKnowledge {
-    const known = knowledgeByModel.get(model);
-    if (known !== undefined) return known;
-    const knowledge = {
+  function getStatistics(model: string): ModelStatistics {
+    const existing = statisticsByModel.get(model);
+    if (existing !== undefined) return existing;
+    const statistics = {
       stalls: Decisions.createStallPolicy(),
       outliers: Decisions.createOutlierDetector(),
     };
-    knowledgeByModel.set(model, knowledge);
-    return knowledge;
+    statisticsByModel.set(model, statistics);
+    return statistics;
   }
 
-  function isPassedOver(target: string, nowMs: number): boolean {
-    const failed = failedAtMs.get(target);
-    return failed !== undefined && nowMs - failed < PASS_OVER_MS;
+  function isCoolingDown(target: string, nowMs: number): boolean {
+    const failedAt = failedAtMs.get(target);
+    return failedAt !== undefined && nowMs - failedAt < FAILURE_COOLDOWN_MS;
   }
 
   function getState(
@@ -69,18 +69,18 @@
     nowMs: number,
   ): TargetChoiceState {
     if (target.vmState === 'leaving') return 'leaving';
-    if (isPassedOver(target.name, nowMs)) return 'dead';
-    const own = outliers.getState(target.name, nowMs);
-    if (own !== 'healthy') return own;
+    if (isCoolingDown(target.name, nowMs)) return 'dead';
+    const ownState = outliers.getState(target.name, nowMs);
+    if (ownState !== 'healthy') return ownState;
     const health = membership.getTargetHealth(target.name);
     // Our own word that it is dead has had its time: whoever said so first also tries it first, or
     // an engine that is back would stay unused until every router's word of it has aged.
-    const isOwnWord = health?.state === 'dead' && health.observer === options.routerName;
-    return health === undefined || isOwnWord ? 'healthy' : health.state;
+    const isOwnReport = health?.state === 'dead' && health.observer === options.routerName;
+    return health === undefined || isOwnReport ? 'healthy' : health.state;
   }
 
   function createView(target: EngineTarget, model: string, nowMs: number): TargetView {
-    const { outliers } = getKnowledge(model);
+    const { outliers } = getStatistics(model);
     const health = membership.getTargetHealth(target.name);
     const view = {
       name: target.name,
@@ -103,10 +103,10 @@
   }
 
   return {
-    getKnowledge,
+    getStatistics,
     createView,
-    recordSent: sent.addOne,
-    recordEnd: ended.addOne,
+    recordSent: sent.addAttempt,
+    recordEnd: ended.addAttempt,
     recordFailure(target, nowMs) {
       failedAtMs.set(target, nowMs);
       membership.reportTarget({ target, state: 'dead' });
@@ -117,8 +117,8 @@
     },
     listEjected: (nowMs) =>
       Object.fromEntries(
-        [...knowledgeByModel].map(([model, { outliers }]) => [model, outliers.listEjected(nowMs)]),
+        [...statisticsByModel].map(([model, { outliers }]) => [model, outliers.listEjected(nowMs)]),
       ),
-    listFailed: (nowMs) => [...failedAtMs.keys()].filter((name) => isPassedOver(name, nowMs)),
+    listFailed: (nowMs) => [...failedAtMs.keys()].filter((name) => isCoolingDown(name, nowMs)),
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/targets.ts
+++ b/packages/sequoiarill-plugin-generations/src/targets.ts
@@ -2,8 +2,8 @@
 import * as Decisions from '@sequoiarill/decisions';
 import type { Model } from '@sequoiarill/types';
 
-import type { AttemptLimits } from './attemptEnds';
-import type { AttemptOrder, TargetDecision, TargetQuery } from './generation';
+import type { AttemptLimits } from './attemptResults';
+import type { Attempt, TargetDecision, TargetQuery } from './generation';
 import * as Prompts from './prompts';
 import type { ServingTargets } from './servingTargets';
 import * as TargetViews from './targetViews';
@@ -25,15 +25,15 @@
 
 export interface Targets {
   readonly chooseTarget: (query: TargetQuery) => TargetDecision;
-  readonly getLimits: (order: AttemptOrder) => AttemptLimits;
-  readonly recordDispatch: (order: AttemptOrder) => void;
-  readonly recordEnd: (order: AttemptOrder) => void;
-  readonly recordFirstToken: (order: AttemptOrder, ms: number) => void;
-  readonly recordGap: (order: AttemptOrder, ms: number) => void;
+  readonly getLimits: (attempt: Attempt) => AttemptLimits;
+  readonly recordDispatch: (attempt: Attempt) => void;
+  readonly recordEnd: (attempt: Attempt) => void;
+  readonly recordFirstToken: (attempt: Attempt, ms: number) => void;
+  readonly recordGap: (attempt: Attempt, ms: number) => void;
   /** The engine was lost under an attempt. */
-  readonly recordFailure: (order: AttemptOrder) => void;
+  readonly recordFailure: (attempt: Attempt) => void;
   /** The engine refused an attempt for lack of room. */
-  readonly recordBusy: (order: AttemptOrder) => void;
+  readonly recordBusy: (attempt: Attempt) => void;
   /** What the usable engines of a model can run, and how much of it is in use. */
   readonly getCapacity: (model: Model) => Capacity;
   readonly dumpTargets: () => Readonly<Record<string, unknown>>;
@@ -50,9 +50,9 @@
     const nowMs = getNowMs();
     const { messages } = query.request;
     const model = query.model.name;
-    const set = serving.listSet(query.model);
+    const selected = serving.listSelected(query.model);
     const choice = chooser.chooseTarget({
-      candidates: set.map((target) => views.createView(target, model, nowMs)),
+      candidates: selected.map((target) => views.createView(target, model, nowMs)),
       zone: options.zone,
       prefixKeys: Prompts.listPrefixKeys(model, messages),
       nowMs,
@@ -60,13 +60,13 @@
       purpose: query.purpose,
       promptTokens: Prompts.computePromptTokens(messages),
     });
-    if (choice.kind === 'none') return decideLastResort(query, choice.reason);
-    const target = set.find(({ name }) => name === choice.name)!;
+    if (choice.kind === 'none') return chooseLastResort(query, choice.reason);
+    const target = selected.find(({ name }) => name === choice.name)!;
     return { kind: 'target', target, reason: choice.reason };
   }
 
   /** With every engine of the set gone, one outside it or one that failed may be back already. */
-  function decideLastResort(query: TargetQuery, reason: string): TargetDecision {
+  function chooseLastResort(query: TargetQuery, reason: string): TargetDecision {
     const live = serving
       .listAll(query.model)
       .filter(({ name, vmState }) => vmState === 'live' && !query.excluded.has(name));
@@ -75,44 +75,44 @@
     return { kind: 'target', target, reason: `last resort: ${reason}` };
   }
 
-  function getLimits(order: AttemptOrder): AttemptLimits {
-    const { preference } = order.request.organisation;
-    const { stalls } = views.getKnowledge(order.model.name);
-    return stalls.getLimits(order.target.name, preference, computeGivenTokens(order));
+  function getLimits(attempt: Attempt): AttemptLimits {
+    const { preference } = attempt.request.organisation;
+    const { stalls } = views.getStatistics(attempt.model.name);
+    return stalls.getLimits(attempt.target.name, preference, computePrefillTokens(attempt));
   }
 
-  function recordFirstToken(order: AttemptOrder, ms: number): void {
-    const { stalls, outliers } = views.getKnowledge(order.model.name);
-    const { name } = order.target;
-    stalls.recordFirstToken(name, ms, computeGivenTokens(order));
+  function recordFirstToken(attempt: Attempt, ms: number): void {
+    const { stalls, outliers } = views.getStatistics(attempt.model.name);
+    const { name } = attempt.target;
+    stalls.recordFirstToken(name, ms, computePrefillTokens(attempt));
     outliers.recordFirstToken(name, ms, getNowMs());
     outliers.recordSuccess(name, getNowMs());
     views.recordSuccess(name);
   }
 
-  function recordGap(order: AttemptOrder, ms: number): void {
-    const { stalls, outliers } = views.getKnowledge(order.model.name);
-    stalls.recordGap(order.target.name, ms);
-    outliers.recordGap(order.target.name, ms, getNowMs());
+  function recordGap(attempt: Attempt, ms: number): void {
+    const { stalls, outliers } = views.getStatistics(attempt.model.name);
+    stalls.recordGap(attempt.target.name, ms);
+    outliers.recordGap(attempt.target.name, ms, getNowMs());
   }
 
-  function recordFailure(order: AttemptOrder): void {
-    const { name } = order.target;
+  function recordFailure(attempt: Attempt): void {
+    const { name } = attempt.target;
     views.recordFailure(name, getNowMs());
-    views.getKnowledge(order.model.name).outliers.recordFailure(name, getNowMs());
+    views.getStatistics(attempt.model.name).outliers.recordFailure(name, getNowMs());
   }
 
   /** An engine that is full by our own count is well; one that refuses when it looks idle is not. */
-  function recordBusy(order: AttemptOrder): void {
-    const { name, slots } = order.target;
+  function recordBusy(attempt: Attempt): void {
+    const { name, slots } = attempt.target;
     if (getInFlight(name) >= slots) return;
-    views.getKnowledge(order.model.name).outliers.recordFailure(name, getNowMs());
+    views.getStatistics(attempt.model.name).outliers.recordFailure(name, getNowMs());
   }
 
-  function recordEnd(order: AttemptOrder): void {
+  function recordEnd(attempt: Attempt): void {
     const nowMs = getNowMs();
-    views.recordEnd(order.target.name, nowMs);
-    chooser.recordEnd(order.target.name, nowMs);
+    views.recordEnd(attempt.target.name, nowMs);
+    chooser.recordEnd(attempt.target.name, nowMs);
   }
 
   function getCapacity(model: Model): Capacity {
@@ -132,7 +132,7 @@
   return {
     chooseTarget,
     getLimits,
-    recordDispatch: (order) => views.recordSent(order.target.name, getNowMs()),
+    recordDispatch: (attempt) => views.recordSent(attempt.target.name, getNowMs()),
     recordEnd,
     recordFirstToken,
     recordGap,
@@ -147,6 +147,6 @@
 }
 
 /** Tokens an engine has to prefill for an attempt; estimated until one has tokenised the prompt. */
-function computeGivenTokens(order: AttemptOrder): number {
-  return order.tokenIds?.length ?? Prompts.computePromptTokens(order.request.messages);
+function computePrefillTokens(attempt: Attempt): number {
+  return attempt.tokenIds?.length ?? Prompts.computePromptTokens(attempt.request.messages);
 }
