--- a/packages/sequoiarill-plugin-generations/src/admissionController.ts
+++ b/packages/sequoiarill-plugin-generations/src/admissionController.ts
@@ -1,8 +1,8 @@
 /**
- * Lets requests in through the pure admission decision, and wakes those that wait.
+ * Applies the admission decisions to requests, and settles those that wait in the queue.
  *
- * One timer serves the whole queue: it fires at the next deadline, so that a request that can't
- * start any more gets its final answer at once and not when its caller's patience ends.
+ * One timer serves the whole queue: it fires at the next deadline, so that a request that can no
+ * longer start is refused immediately and not when its caller times out.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type {
@@ -28,7 +28,7 @@
   ) => Promise<AdmissionOutcome>;
   readonly recordFirstToken: (permit: Permit, ms: number) => void;
   readonly releasePermit: (permit: Permit, use: AdmissionUse) => void;
-  /** Tells what the engines of a model can take now; see `ConcurrencyLimit.setCapacity`. */
+  /** Sets the current capacity of a model's engines; see `ConcurrencyLimit.setCapacity`. */
   readonly setCapacity: (model: string, slots: number, busyShare: number) => void;
   readonly close: () => void;
   readonly dumpModelQueues: () => ReturnType<Admission['listModelQueues']>;
@@ -39,17 +39,17 @@
   readonly getNowMs: () => number;
   /** Longest wait in the queue before a refusal, milliseconds. */
   readonly maxWaitMs: number;
-  /** This router's even part of the generations that all engines of a model can run. */
+  /** Slots of all engines of a model, divided evenly among the routers. */
   readonly getSlotShare: (model: string) => number;
 }
 
 /**
- * The decisions' target is the wait for a slot alone, measured in a model without a network; a real
- * first token also takes a round trip and one decoding step of a full engine.
+ * `DEFAULT_TARGET_MS` covers only the wait for a slot, measured in a simulation without a network. A
+ * real first token also takes a round trip and one decoding step of a full engine, hence the 60 ms.
  */
 const FIRST_TOKEN_TARGET_MS = Decisions.DEFAULT_TARGET_MS + 60;
 const MIN_CONCURRENT_GENERATIONS = 8;
-/** Streams of one router process at most; memory of a stream is in docs/CAPACITY.md. */
+/** Bounds the memory of a router process; docs/CAPACITY.md has the memory of one stream. */
 const MAX_CONCURRENT_GENERATIONS = 8_192;
 
 export function createAdmissionController(
--- a/packages/sequoiarill-plugin-generations/src/answer.ts
+++ b/packages/sequoiarill-plugin-generations/src/answer.ts
@@ -1,11 +1,10 @@
 /**
- * What is certain of one answer, independent of the engine that produced it. Pure.
+ * Confirmed tokens and text of one answer, independent of the engines that produced them.
  *
- * A continuation is asked for by token ids, since text that is tokenised again need not give the
- * same ids. Ids whose text is not out yet (a token may end inside a UTF-8 character) stay pending:
- * a continuation gives only the certain ids, so that the next engine makes the pending ones again
- * and its text begins on a character's boundary. None of their text was yielded, so nothing is
- * repeated.
+ * A continuation is requested by token ids, because tokenising the text again may yield other ids.
+ * Ids whose text is incomplete (a token may end inside a UTF-8 character) stay pending. A
+ * continuation contains only confirmed ids, so the next engine generates the pending ones again and
+ * its text begins at a character boundary. No text of a pending id was yielded, so none is repeated.
  */
 import type { FinishReason, Usage } from '@sequoiarill/types';
 
@@ -18,27 +17,27 @@
 export interface EngineEvent {
   readonly text: string;
   readonly tokenIds: readonly number[];
-  /** On the first event of a prompt that was given as text. */
+  /** Present on the first event if the prompt was sent as text. */
   readonly promptTokenIds?: readonly number[] | undefined;
   readonly finishReason?: FinishReason | undefined;
-  /** Prompt tokens as the engine counted them, on its usage event. */
+  /** Number of prompt tokens reported by the engine; present on its usage event. */
   readonly promptTokens?: number | undefined;
 }
 
 export interface AnswerStep {
   readonly text: string;
   readonly tokenCount: number;
-  /** Set when the whole answer is complete by its own rules: stop sequence or output limit. */
+  /** Set when the answer is complete: by a stop sequence, or as the engine reported. */
   readonly finishReason?: FinishReason;
 }
 
 export interface Answer {
   readonly addEvents: (events: readonly EngineEvent[]) => AnswerStep;
-  /** Ends the answer as the engine said; the step holds the last text. */
+  /** Ends the answer; the step contains the remaining text, which may hold a stop sequence. */
   readonly closeAnswer: (finishReason: FinishReason) => AnswerStep;
-  /** Forgets pending ids, as their engine is gone. */
+  /** Discards the pending ids of an engine that was lost. */
   readonly removePending: () => void;
-  /** Prompt ids and certain output ids; undefined while no engine told the prompt's ids. */
+  /** Prompt ids and confirmed output ids; undefined until an engine has reported the prompt ids. */
   readonly getContinuationIds: () => readonly number[] | undefined;
   readonly getRemainingTokens: () => number;
   readonly getUsage: () => Usage;
@@ -71,7 +70,7 @@
     }
     pendingIds.push(...event.tokenIds);
     pendingText += event.text;
-    // Incomplete characters come as no text or as the replacement character: not certain yet.
+    // Engines send an incomplete character as empty text or as the replacement character.
     if (event.text === '' || event.text.endsWith(REPLACEMENT_CHARACTER)) return EMPTY_STEP;
     const text = pendingText;
     const tokenCount = takePending();
--- a/packages/sequoiarill-plugin-generations/src/attempt.ts
+++ b/packages/sequoiarill-plugin-generations/src/attempt.ts
@@ -1,9 +1,9 @@
 /**
- * One attempt of a request at one engine: from its dispatch to its last byte.
+ * Runs one attempt of a request on one engine, from its dispatch to its last byte.
  *
- * Bytes belong to the attempt whose connection they came on. An attempt that was given up has its
- * connection destroyed and nobody reads it any more, so what a slow or woken engine still sends
- * goes nowhere, whatever time it arrives.
+ * Bytes belong to the attempt whose connection they arrive on. Abandoning an attempt destroys its
+ * connection, so output that a slow engine, or one that resumed after a pause, still sends is
+ * discarded whenever it arrives.
  */
 import type { Clock, EngineTarget, FinishReason } from '@sequoiarill/types';
 import * as Undici from 'undici';
@@ -22,23 +22,23 @@
   readonly path: string;
   readonly body: Readonly<Record<string, unknown>>;
   readonly requestId: string;
-  /** Rises with each attempt of the request; engines that check refuse an older one. */
+  /** Increases with each attempt of the request; engines with a fencing check refuse lower ones. */
   readonly fencingNumber: number;
   readonly limits: AttemptLimits;
   readonly signal: AbortSignal;
   readonly getRunningMs: Clock['getRunningMs'];
   /** When the attempt was dispatched, in running time. */
   readonly startedMs: number;
-  /** Milliseconds from the dispatch. */
+  /** `ms`: time since the dispatch. */
   readonly onFirstToken: (ms: number) => void;
-  /** Milliseconds that the relay waited for the next tokens. */
+  /** `ms`: time for which the relay waited for the next tokens. */
   readonly onGap: (ms: number) => void;
 }
 
 const HTTP_OK = 200;
 type Response = Undici.Dispatcher.ResponseData;
 
-/** What the relay has seen of one attempt; read when its stream breaks. */
+/** Progress of one attempt; determines the result when its stream breaks. */
 interface AttemptState {
   isSent: boolean;
   isStalled: boolean;
@@ -46,7 +46,7 @@
   finishReason: FinishReason | undefined;
 }
 
-/** Yields the events of each read together; what ended the attempt is the return value. */
+/** Yields the events of each read as one batch and returns how the attempt ended. */
 export async function* runAttempt(
   options: AttemptOptions,
 ): AsyncGenerator<readonly EngineEvent[], AttemptResult, void> {
@@ -75,7 +75,7 @@
   } finally {
     timer.close();
     options.signal.removeEventListener('abort', cancel);
-    // Ends the read of an attempt that was given up; after a whole answer it does nothing.
+    // Aborts an abandoned attempt; has no effect once the response is complete.
     controller.abort();
   }
 }
@@ -93,17 +93,21 @@
     timer.stop();
     const events = parseEvents(splitter.addBytes(bytes));
     if (events === undefined) {
-      return AttemptResults.createLoss('broken', 'an event is malformed', true);
+      return AttemptResults.createLoss('broken', 'the engine sent a malformed event', true);
     }
     if (state.hasTokens) options.onGap(getRunningMs() - waitingSinceMs);
     updateState(state, events, () => options.onFirstToken(getRunningMs() - startedMs));
     yield events;
-    // Reading goes on to the end of the body, so that its connection serves the next request.
+    // The body is read to its end, so that the connection can be reused for the next request.
     waitingSinceMs = getRunningMs();
     timer.start(state.hasTokens ? limits.gapMs : limits.firstTokenMs);
   }
   if (state.finishReason !== undefined) return AttemptResults.createFinished(state.finishReason);
-  return AttemptResults.createLoss('endedEarly', 'the stream ended before the answer', true);
+  return AttemptResults.createLoss(
+    'endedEarly',
+    'the stream ended before the answer was complete',
+    true,
+  );
 }
 
 function parseEvents(datas: readonly string[] | undefined): readonly EngineEvent[] | undefined {
@@ -137,7 +141,7 @@
   options: AttemptOptions,
   state: AttemptState,
 ): AttemptResult {
-  // The event with the finish reason follows the last token: the answer is whole.
+  // The finish reason follows the last token, so the answer is complete despite the error.
   if (state.finishReason !== undefined) return AttemptResults.createFinished(state.finishReason);
   if (options.signal.aborted) return { kind: 'cancelled' };
   if (state.isStalled) return AttemptResults.createStallLoss(options.limits, state.hasTokens);
--- a/packages/sequoiarill-plugin-generations/src/attemptResults.ts
+++ b/packages/sequoiarill-plugin-generations/src/attemptResults.ts
@@ -1,8 +1,8 @@
-/** How an attempt at one engine can end, and which end follows from what was seen. */
+/** Results of an attempt on one engine, and their derivation from responses and errors. */
 import type { FinishReason } from '@sequoiarill/types';
 import type * as Undici from 'undici';
 
-/** How an engine was lost under an attempt. */
+/** How an engine was lost during an attempt. */
 export type LossCause = 'refused' | 'reset' | 'endedEarly' | 'noFirstToken' | 'stalled' | 'broken';
 
 export interface AttemptFinished {
@@ -18,7 +18,7 @@
   readonly mayHaveRun: boolean;
 }
 
-/** The engine took nothing on. */
+/** The engine did not accept the request; another engine may. */
 export interface AttemptBusy {
   readonly kind: 'busy';
   readonly retryAfterSeconds: number;
@@ -37,7 +37,7 @@
 export type AttemptResult =
   AttemptFinished | AttemptLost | AttemptBusy | AttemptRejected | AttemptCancelled;
 
-/** How long the engine may keep the relay waiting, in milliseconds. */
+/** Longest times that the relay waits for the engine. */
 export interface AttemptLimits {
   readonly firstTokenMs: number;
   readonly gapMs: number;
@@ -45,18 +45,19 @@
 
 const HTTP_SERVER_ERROR = 500;
 /**
- * Answers that mean nothing was taken on: no such model any more, an old fencing number, a limit,
- * or no room. Another engine may still take the request.
+ * Statuses of a request that the engine did not start: the model is no longer served (404), the
+ * fencing number is outdated (409), a limit was reached (429), or there is no capacity (503).
+ * Another engine may still accept the request.
  */
 const RETRYABLE_STATUS_CODES = new Set([404, 409, 429, 503]);
 const MAX_ERROR_BYTES = 65_536;
 const DEFAULT_RETRY_AFTER_SECONDS = 1;
-/** Code of undici's error for a connection that was not made in time. */
+/** Error code of undici for a connect timeout. */
 const CONNECT_TIMEOUT_CODE = 'UND_ERR_CONNECT_TIMEOUT';
 
 type Response = Undici.Dispatcher.ResponseData;
 
-/** An answer other than 200: the engine did not take the request on. */
+/** Converts a response with a status other than 200. */
 export async function readRefusal(response: Response): Promise<AttemptResult> {
   const text = await readLimited(response);
   const { statusCode } = response;
@@ -65,7 +66,7 @@
     return { kind: 'busy', retryAfterSeconds: seconds > 0 ? seconds : DEFAULT_RETRY_AFTER_SECONDS };
   }
   if (statusCode >= HTTP_SERVER_ERROR) {
-    return createLoss('broken', `the engine answered ${statusCode}`, true);
+    return createLoss('broken', `the engine responded with status ${statusCode}`, true);
   }
   return { kind: 'rejected', ...parseError(text) };
 }
@@ -98,13 +99,17 @@
 export function createStallLoss(limits: AttemptLimits, hasTokens: boolean): AttemptLost {
   return hasTokens
     ? createLoss('stalled', `no token for ${Math.round(limits.gapMs)} ms`, true)
-    : createLoss('noFirstToken', `no first token in ${Math.round(limits.firstTokenMs)} ms`, true);
+    : createLoss(
+        'noFirstToken',
+        `no first token within ${Math.round(limits.firstTokenMs)} ms`,
+        true,
+      );
 }
 
 /**
- * Errors of the connect itself come before undici writes a byte, so the engine cannot have the
- * request; after any other error it may have it. The code alone does not tell: an established
- * connection whose route breaks ends with `EHOSTUNREACH` as well, from another system call.
+ * A connect error occurs before undici writes a byte, so the engine cannot have received the
+ * request; after any other error it may have. The error code alone is not sufficient: an established
+ * connection whose route breaks also fails with `EHOSTUNREACH`, but from another system call.
  */
 export function createConnectionLoss(error: NodeJS.ErrnoException, isSent: boolean): AttemptLost {
   const isConnect = error.code === CONNECT_TIMEOUT_CODE || error.syscall === 'connect';
--- a/packages/sequoiarill-plugin-generations/src/capacityTask.ts
+++ b/packages/sequoiarill-plugin-generations/src/capacityTask.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps admission and target sets up with engines and routers that come and go.
+ * Updates the admission limits and the target sets as engines and routers join and leave.
  *
- * After a third of the engines is lost the limit must fall at once: finding it from late first tokens
- * takes half a minute, in which every continued stream meets a full engine.
+ * When a third of the engines is lost, the limit must fall immediately: deriving it from late first
+ * tokens takes half a minute, during which every continued stream meets a full engine.
  */
 import type { Clock, ConfigurationReader, EngineTarget, Membership } from '@sequoiarill/types';
 
@@ -24,7 +24,6 @@
   readonly poller: LoadPoller;
 }
 
-/** How often admission hears of engines lost and won. */
 const CAPACITY_UPDATE_INTERVAL_MS = 250;
 
 export async function runCapacityTask(
@@ -38,7 +37,7 @@
   }
 }
 
-/** A task of its own: an engine that hangs holds its round up, and admission must not wait for it. */
+/** Separate from the capacity task, because an engine that hangs delays its polling round. */
 export async function runPollTask(
   options: CapacityTaskOptions,
   signal: AbortSignal,
@@ -49,7 +48,7 @@
   }
 }
 
-/** Routers that serve now, this one among them; of the own zone only, or of all zones. */
+/** Alive routers including this one, in the local zone or in all zones. */
 function listRouters(
   { membership, zone, routerName }: CapacityTaskOptions,
   isZoneOnly: boolean,
@@ -68,7 +67,7 @@
   );
 }
 
-/** A router may use engines of every zone, so the routers of every zone share their slots. */
+/** Divides the slots by the routers of all zones, as any router may use engines of any zone. */
 function updateCapacity(options: CapacityTaskOptions): void {
   const { configuration, targets, admission } = options;
   const routers = listRouters(options, false).length;
--- a/packages/sequoiarill-plugin-generations/src/engineCalls.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineCalls.ts
@@ -1,4 +1,4 @@
-/** Attempts and cancels as calls to engines. */
+/** Sends attempts and cancellations to engines. */
 import type { Clock } from '@sequoiarill/types';
 
 import * as Attempts from './attempt';
@@ -15,7 +15,7 @@
 
 export type EngineCalls = Pick<GenerationDependencies, 'runAttempt' | 'cancelAttempt'>;
 
-/** A cancel that no engine answers in this time is given up; the engine's own hold ends the work. */
+/** Cancelling is best effort: if it times out, the engine stops the work after its hold time. */
 const CANCEL_TIMEOUT_MS = 2_000;
 
 export function createEngineCalls(options: EngineCallsOptions): EngineCalls {
--- a/packages/sequoiarill-plugin-generations/src/engineEvents.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineEvents.ts
@@ -1,9 +1,9 @@
-/** Reads the published completion and chat completion chunks that engines stream. */
+/** Parses the completion and chat completion chunks that engines stream. */
 import type { FinishReason } from '@sequoiarill/types';
 
 import type { EngineEvent } from './answer';
 
-/** Data of the last event of a stream. */
+/** Data of the event that ends a stream. */
 export const STREAM_END = '[DONE]';
 
 interface EngineChoice {
@@ -23,8 +23,8 @@
 const NO_CHOICE: EngineChoice = {};
 
 /**
- * One event, or undefined for data that is not a chunk. Only what the relay decides on is read; a
- * full schema check of each token's event would cost more than relaying it.
+ * Returns undefined if the data is not a JSON object. Reads only the fields that the relay needs: a
+ * full schema validation of each token's event would cost more than relaying it.
  */
 export function parseEngineEvent(data: string): EngineEvent | undefined {
   const chunk = parseJson(data);
--- a/packages/sequoiarill-plugin-generations/src/enginePools.ts
+++ b/packages/sequoiarill-plugin-generations/src/enginePools.ts
@@ -1,4 +1,4 @@
-/** One connection pool for each engine, with what this router has open there. */
+/** Connection pool and count of in-flight attempts for each engine. */
 import type { EngineTarget } from '@sequoiarill/types';
 import * as Undici from 'undici';
 
@@ -11,14 +11,14 @@
   readonly getPool: (target: EngineTarget) => EnginePool;
   readonly getInFlight: (target: string) => number;
   readonly addInFlight: (target: string, change: 1 | -1) => void;
-  /** Closes pools of targets that left the configuration; streams in progress end first. */
+  /** Closes pools of targets that left the configuration, after their in-flight streams have ended. */
   readonly removeMissing: (targets: ReadonlySet<string>) => void;
   readonly close: () => Promise<void>;
 }
 
 export interface EnginePoolOptions {
   readonly connectTimeoutMs: number;
-  /** Connections to one engine; a stream holds one. */
+  /** Maximum connections to one engine; each stream uses one. */
   readonly maxConnections: number;
 }
 
@@ -33,7 +33,7 @@
 
   function openEntry(target: EngineTarget): PoolEntry {
     const origin = `http://${target.address}`;
-    // Headers and body have no limits here: the attempt's own limits know what it waits for.
+    // No timeouts for headers and body: the stall timer of each attempt covers both.
     const pool = new Undici.Pool(origin, {
       connections: options.maxConnections,
       connect: { timeout: options.connectTimeoutMs },
--- a/packages/sequoiarill-plugin-generations/src/engineRequests.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineRequests.ts
@@ -1,4 +1,4 @@
-/** What is sent to an engine: a chat completion at the start, a completion by token ids after. */
+/** Requests to engines: a chat completion first, completions by token ids for continuations. */
 import type { EngineTarget, Model } from '@sequoiarill/types';
 
 import type { Attempt } from './generation';
@@ -12,8 +12,8 @@
 }
 
 /**
- * The name under which a target serves a model, or undefined. A target that names a version serves
- * only that one, so that a continuation never changes the version while a new one rolls out.
+ * The name under which a target serves a model, or undefined. A name with a version matches only that
+ * version, so that a continuation never changes versions during a rollout.
  */
 export function findServedName(target: EngineTarget, model: Model): string | undefined {
   const pinned = `${model.name}@${model.version}`;
@@ -33,7 +33,7 @@
     ...(request.topP !== undefined && { top_p: request.topP }),
     ...(request.seed !== undefined && { seed: request.seed }),
   };
-  // Stop sequences stay with the relay: an engine sees only its part of the answer's text.
+  // The relay applies stop sequences itself: an engine sees only its part of the answer's text.
   return attempt.tokenIds === undefined
     ? { path: CHAT_PATH, body: { ...shared, messages: request.messages } }
     : { path: COMPLETION_PATH, body: { ...shared, prompt: attempt.tokenIds } };
--- a/packages/sequoiarill-plugin-generations/src/events.ts
+++ b/packages/sequoiarill-plugin-generations/src/events.ts
@@ -5,17 +5,17 @@
   1300,
   'warn',
   'generation.lost',
-  'An engine was lost in the middle of a generation; another one goes on with it.',
+  'An engine was lost during a generation; the generation continues on another engine.',
 );
 export const GENERATION_GIVEN_UP = Kernel.defineEvent(
   1301,
   'error',
   'generation.givenUp',
-  'No engine could go on with a generation; its caller was told at once.',
+  'No engine could continue a generation; its caller received the final error immediately.',
 );
 export const ENGINE_BUSY = Kernel.defineEvent(
   1302,
   'info',
   'engine.busy',
-  'An engine refused a generation because it is full; another one was asked.',
+  'An engine refused a generation for lack of capacity; the request goes to another engine.',
 );
--- a/packages/sequoiarill-plugin-generations/src/generation.ts
+++ b/packages/sequoiarill-plugin-generations/src/generation.ts
@@ -1,7 +1,7 @@
 /**
- * The whole life of one answer, straight down: choose an engine, relay its tokens, and after a
- * loss choose again with what is certain. What a loss means, where to go next and how long to wait
- * are functions passed in, so that the same generator runs in virtual time and over sockets.
+ * Runs one generation: chooses an engine, relays its tokens, and after a loss continues from the
+ * confirmed tokens on another engine. Target choice, dispatch, pacing and loss handling are passed in,
+ * so that the same generator runs in virtual time and over sockets.
  */
 import type {
   EngineTarget,
@@ -18,14 +18,14 @@
 import * as Progresses from './progress';
 import type { Progress } from './progress';
 
-/** What is asked of one engine. */
+/** The part of a request that one engine is to run. */
 export interface Attempt {
   readonly request: GenerationRequest;
   readonly model: Model;
   readonly target: EngineTarget;
-  /** Rises by one with each engine tried; also the fencing number. */
+  /** Increases by one with each engine tried; also the fencing number. */
   readonly generation: number;
-  /** Prompt and certain output ids; absent on a start from the messages. */
+  /** Prompt and confirmed output ids; absent if the attempt starts from the messages. */
   readonly tokenIds?: readonly number[];
   readonly maxTokens: number;
 }
@@ -46,11 +46,11 @@
   readonly runAttempt: (
     attempt: Attempt,
   ) => AsyncGenerator<readonly EngineEvent[], AttemptResult, void>;
-  /** Tells an engine that nobody wants the attempt any more; best effort, never awaited. */
+  /** Cancels the attempt on its engine; best effort, never awaited. */
   readonly cancelAttempt: (attempt: Attempt) => void;
-  /** Whether another engine may be asked; false when the retry budget is spent. */
+  /** Whether another engine may be tried; false when the retry budget is exhausted. */
   readonly takeRetry: (query: TargetQuery) => boolean;
-  /** Waits for the place of a continuation among the others that were lost with it. */
+  /** Paces the continuations of streams that were lost at the same time. */
   readonly waitForStart: (attempt: Attempt) => Promise<void>;
   readonly journal: Journal;
   readonly onLost: (attempt: Attempt, loss: AttemptLost) => void;
@@ -59,9 +59,9 @@
   readonly getNowMs: () => number;
 }
 
-/** Engines that may be lost under one request; each loss goes to another engine. */
+/** Engines that one request may lose before it fails; each loss leads to another engine. */
 const MAX_LOSSES = 8;
-/** Engines that may refuse one request for lack of room before its caller is told. */
+/** Engines that may refuse one request for lack of capacity before it fails. */
 const MAX_REFUSALS = 3;
 
 export async function* runGeneration(
@@ -75,7 +75,7 @@
     const query: TargetQuery = { request, model, excluded: progress.getExcluded(), purpose };
     const mayTry = progress.getGeneration() === 0 || dependencies.takeRetry(query);
     if (request.signal.aborted) return progress.createCancelled();
-    if (!mayTry) return progress.createFailure('overloaded', 'too many engines failed at once');
+    if (!mayTry) return progress.createFailure('overloaded', 'the retry budget is exhausted');
     const decision = dependencies.chooseTarget(query);
     if (decision.kind === 'none') {
       progress.setRetryAfter(decision.retryAfterSeconds);
@@ -116,7 +116,7 @@
   });
 }
 
-/** Yields what becomes certain; ends when the attempt does or the answer is complete. */
+/** Yields confirmed tokens; ends with the attempt or as soon as the answer is complete. */
 async function* relayAttempt(
   attempt: Attempt,
   progress: Progress,
@@ -135,7 +135,7 @@
       if (step.finishReason !== undefined) return createFinished(step.finishReason);
     }
   } finally {
-    // Left while the engine still generates: a stop sequence ended the answer, or nobody reads it.
+    // The engine still generates: a stop sequence ended the answer, or its reader has left.
     if (isWanted) dependencies.cancelAttempt(attempt);
     await events.return({ kind: 'cancelled' });
   }
@@ -146,7 +146,7 @@
   attempt: Attempt,
   progress: Progress,
 ): AsyncGenerator<TokenBatch, AttemptResult, void> {
-  // The last token had arrived; only the word that it was the last is lost with the engine.
+  // All tokens up to the output limit have arrived; only the finish reason was lost.
   const isAtLimit = result.kind === 'lost' && progress.answer.getRemainingTokens() <= 0;
   if (result.kind !== 'finished' && !isAtLimit) return result;
   const step = progress.answer.closeAnswer(
@@ -165,7 +165,7 @@
   if (lostAtMs !== undefined) dependencies.onResumed(attempt, dependencies.getNowMs() - lostAtMs);
 }
 
-/** Undefined: another engine is to be tried. */
+/** Returns undefined if another engine is to be tried. */
 function decideOutcome(
   result: AttemptResult,
   attempt: Attempt,
@@ -183,12 +183,12 @@
     case 'lost':
       return handleLoss(result, attempt, progress, dependencies);
     case 'rejected':
-      // A refused continuation is no fault of the caller, who has part of the answer already.
+      // A continuation may be refused through no fault of the caller, who already has a part.
       return progress.hasPossiblyRun()
         ? progress.createFailure('noTarget', result.message)
         : result;
     default:
-      throw new Error('an attempt ended in no known way');
+      throw new Error('unknown kind of attempt result');
   }
 }
 
@@ -201,7 +201,7 @@
   const refusals = progress.addRefusal(attempt.target.name, result.retryAfterSeconds);
   dependencies.onBusy(attempt, result);
   if (refusals <= MAX_REFUSALS) return undefined;
-  return progress.createFailure('overloaded', 'every engine asked is full');
+  return progress.createFailure('overloaded', 'every engine tried is at capacity');
 }
 
 function handleLoss(
@@ -218,10 +218,10 @@
     tokensCertain: progress.answer.getUsage().completionTokens,
   });
   if (losses > MAX_LOSSES) {
-    return progress.createFailure('noTarget', 'one engine after another was lost');
+    return progress.createFailure('noTarget', 'too many engines were lost during the request');
   }
   if (progress.answer.hasTokens() && progress.answer.getContinuationIds() === undefined) {
-    const message = 'the engine told no token ids, so that no other can go on';
+    const message = 'the engine reported no token ids, so no other engine can continue';
     return progress.createFailure('noTarget', message);
   }
   return undefined;
--- a/packages/sequoiarill-plugin-generations/src/index.ts
+++ b/packages/sequoiarill-plugin-generations/src/index.ts
@@ -1,4 +1,4 @@
-/** Runs one generation over engines that fail: dispatch, relay, continuation. */
+/** Runs generations on engines that may fail: dispatch, token relay and continuation. */
 import * as Kernel from '@sequoiarill/kernel';
 
 import { generationsPlugin } from './plugin';
--- a/packages/sequoiarill-plugin-generations/src/loadPoller.ts
+++ b/packages/sequoiarill-plugin-generations/src/loadPoller.ts
@@ -1,9 +1,9 @@
 /**
- * Asks engines how loaded they are, and tells the zone's other routers.
+ * Polls engines for their load and reports it to the zone's other routers.
  *
- * A router's own count misses what others send: 32 routers of a zone that each see an idle engine
- * bury it together. Each engine is asked by two of the zone's routers only, chosen by rank, and
- * membership carries the answer to the rest; so the calls grow with engines and not with routers.
+ * A router's own in-flight count misses what others send: 32 routers of a zone that each see an idle
+ * engine overload it together. Only two of the zone's routers, chosen by rendezvous hashing, poll
+ * each engine, and membership distributes the result; so the calls grow with engines, not routers.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type { EngineTarget, Membership } from '@sequoiarill/types';
@@ -11,9 +11,9 @@
 
 import type { EnginePools } from './enginePools';
 
-/** Reports fade within seconds; asking more often would spend control bytes on noise. */
+/** Reports are outdated within seconds; faster polling would spend control bandwidth on noise. */
 export const POLL_INTERVAL_MS = 2_000;
-/** An answer later than this says nothing of now. */
+/** A later response no longer describes the current load. */
 const RESPONSE_TIMEOUT_MS = 900;
 const HTTP_OK = 200;
 
@@ -30,7 +30,7 @@
 }
 
 export interface LoadPoller {
-  /** Asks this router's part of the engines; ends when all have answered or run out of time. */
+  /** Polls this router's share of the engines; ends when all have responded or timed out. */
   readonly runRound: (
     engines: readonly EngineTarget[],
     routers: readonly string[],
@@ -62,7 +62,7 @@
       const selected = new Set(isAlone ? names : targetSet.selectTargets(names, routers));
       const reads = engines
         .filter(({ name }) => selected.has(name))
-        // An engine that does not answer is judged by the attempts sent to it, not by this.
+        // A failed poll is ignored: only attempts determine whether an engine has failed.
         .map((engine) => readLoad(engine).catch(() => undefined));
       await Promise.all(reads);
     },
--- a/packages/sequoiarill-plugin-generations/src/observer.ts
+++ b/packages/sequoiarill-plugin-generations/src/observer.ts
@@ -1,4 +1,4 @@
-/** Tells logs, metrics and the journal what happens to generations. */
+/** Records the course of generations in logs, metrics and the decision journal. */
 import type { Permit, Refused } from '@sequoiarill/decisions';
 import type {
   GenerationNotRun,
@@ -51,7 +51,7 @@
       const { requestId } = attempt.request;
       const target = attempt.target.name;
       targets.recordFailure(attempt);
-      // The engine may still be at work: what it does from now on is for nobody.
+      // The engine may still be generating; cancelling avoids work that nobody reads.
       if (loss.cause === 'stalled' || loss.cause === 'noFirstToken') cancelAttempt(attempt);
       metrics.addCount('generations.lost', 1, { cause: loss.cause });
       logEvent(Events.GENERATION_LOST, {
--- a/packages/sequoiarill-plugin-generations/src/plugin.ts
+++ b/packages/sequoiarill-plugin-generations/src/plugin.ts
@@ -1,4 +1,4 @@
-/** The generations plug-in: joins the pure parts with engines, clock and configuration. */
+/** The generations plug-in: connects the decisions with engines, clock and configuration. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { AdmissionRequest, Permit } from '@sequoiarill/decisions';
 import type {
@@ -36,7 +36,7 @@
   createInstance,
 };
 
-/** Retries of requests that no engine has begun: a fifth of the requests, and a few each second. */
+/** Budget for retries of requests without output: a fifth of the requests, plus a few a second. */
 const RETRY_BUDGET = { ratio: 0.2, minPerSecond: 5, burst: 100 };
 
 function createInstance(context: PluginContext, settings: GenerationsSettings): PluginInstance {
@@ -83,7 +83,7 @@
     chooseTarget: targets.chooseTarget,
     runAttempt: engineCalls.runAttempt,
     cancelAttempt: engineCalls.cancelAttempt,
-    // What has begun goes on in any case, paced; only fresh starts draw on the budget.
+    // Continuations are paced instead; only requests without output consume the retry budget.
     takeRetry: (query) => query.purpose === 'continuation' || retryBudget.takeRetry(getNowMs()),
     async waitForStart(attempt) {
       const cost = attempt.tokenIds?.length ?? 0;
--- a/packages/sequoiarill-plugin-generations/src/progress.ts
+++ b/packages/sequoiarill-plugin-generations/src/progress.ts
@@ -1,4 +1,4 @@
-/** What one generation has gone through so far, and the outcomes that follow from it. */
+/** State of one generation over all its attempts, and the outcomes derived from it. */
 import type {
   FinishReason,
   GenerationCancelled,
@@ -16,23 +16,23 @@
 
 export interface Progress {
   readonly answer: Answer;
-  /** Engines that failed or refused this request; not asked again. */
+  /** Engines that failed or refused this request; not tried again. */
   readonly getExcluded: () => ReadonlySet<string>;
   /** Starts the next generation and returns its number, which is also its fencing number. */
   readonly addGeneration: () => number;
   readonly getGeneration: () => number;
-  /** Returns how many engines were lost. */
+  /** Returns the number of engines lost so far. */
   readonly addLoss: (target: string, loss: AttemptLost, nowMs: number) => number;
-  /** Returns how many engines refused. */
+  /** Returns the number of engines that refused so far. */
   readonly addRefusal: (target: string, retryAfterSeconds: number) => number;
-  /** Whether an engine may have run any of it: from then on it is never said to be "not run". */
+  /** Whether an engine may have run part of the request; if so, it never ends as `notRun`. */
   readonly hasPossiblyRun: () => boolean;
-  /** When the last engine was lost; undefined if tokens have flowed since. */
+  /** Returns and clears the time of the first loss since the last token, if there was one. */
   readonly takeLostAtMs: () => number | undefined;
   readonly setRetryAfter: (seconds: number) => void;
   readonly createCompleted: (finishReason: FinishReason) => GenerationCompleted;
   readonly createCancelled: () => GenerationCancelled;
-  /** The final answer of a request that is given up, told at once. */
+  /** The outcome of a request that no further engine is tried for. */
   readonly createFailure: (
     reason: GenerationNotRun['reason'],
     message: string,
--- a/packages/sequoiarill-plugin-generations/src/prompts.ts
+++ b/packages/sequoiarill-plugin-generations/src/prompts.ts
@@ -1,11 +1,11 @@
-/** What the decisions need to know of a prompt before any engine has tokenised it. */
+/** Token estimate and prefix keys of a prompt that no engine has tokenised yet. */
 import { createHash } from 'node:crypto';
 
 import type { ChatMessage } from '@sequoiarill/types';
 
-/** Common for subword vocabularies on European languages; only estimates rest on it. */
+/** Typical of subword vocabularies for European languages; used for estimates only. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Prefixes longer than this many messages are told apart by their last ones anyway. */
+/** Only the longest prefixes are compared: they suffice to tell long conversations apart. */
 const MAX_PREFIX_KEYS = 6;
 
 export function computePromptTokens(messages: readonly ChatMessage[]): number {
@@ -13,7 +13,7 @@
   return Math.ceil(characters / CHARACTERS_PER_TOKEN);
 }
 
-/** Digests of the prompt's prefixes by whole messages, longest first. */
+/** Digests of the prompt's prefixes that end at a message boundary, longest first. */
 export function listPrefixKeys(model: string, messages: readonly ChatMessage[]): readonly string[] {
   const hash = createHash('sha1').update(model);
   const keys: string[] = [];
--- a/packages/sequoiarill-plugin-generations/src/recentCounts.ts
+++ b/packages/sequoiarill-plugin-generations/src/recentCounts.ts
@@ -1,13 +1,15 @@
 /**
- * How many attempts of this router began or ended at each target lately.
+ * Counts the attempts of this router that recently started or ended on each target.
  *
- * Load reports lag: without counting what was sent and what ended after a report, every choice until
- * the next one would go to the target that looked idle. Counted in short buckets, so that memory is
- * bounded.
+ * Load reports lag: without the attempts that started and ended since the last report, every request
+ * until the next one would go to the target that looked idle. Short buckets bound the memory.
  */
 
 const BUCKET_MS = 250;
-/** Older reports are not corrected but disregarded. */
+/**
+ * At least 10 s, as empty buckets are not stored. Older load reports are not corrected further: their
+ * weight decreases with age until they are disregarded.
+ */
 const MAX_BUCKETS = 40;
 
 interface Bucket {
--- a/packages/sequoiarill-plugin-generations/src/serverSentEvents.ts
+++ b/packages/sequoiarill-plugin-generations/src/serverSentEvents.ts
@@ -1,12 +1,12 @@
-/** Splits a stream of bytes into the data of its server-sent events. */
+/** Extracts the data of server-sent events from a byte stream. */
 
 const DATA_PREFIX = 'data: ';
 const EVENT_END = '\n\n';
-/** An engine that sends more than this in one event is broken; memory stays bounded. */
+/** Bounds the memory of a stream; an engine that sends a longer event is considered broken. */
 const MAX_EVENT_CHARACTERS = 4_194_304;
 
 export interface EventSplitter {
-  /** Data of the events that became whole; undefined when one is over-long. */
+  /** Returns the data of the events completed by `bytes`; undefined if an event is too long. */
   readonly addBytes: (bytes: Uint8Array) => readonly string[] | undefined;
 }
 
--- a/packages/sequoiarill-plugin-generations/src/servingTargets.ts
+++ b/packages/sequoiarill-plugin-generations/src/servingTargets.ts
@@ -1,8 +1,8 @@
 /**
- * The engines of each model that this router uses, worked out once for each configuration.
+ * Selects the engines of each model that this router uses, once for each configuration.
  *
- * 570 routers that each talked to 6,700 servers would hold millions of connections; a bounded set
- * for each router spreads evenly, and the rest are there for when the set has failed.
+ * 570 routers that each connect to 6,700 servers would hold millions of connections. Each router uses
+ * a bounded set instead, evenly distributed; the other engines are used only if the set has failed.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type { Configuration, EngineTarget, Model } from '@sequoiarill/types';
@@ -10,23 +10,23 @@
 import * as EngineRequests from './engineRequests';
 
 export interface ServingTargets {
-  /** The router's own set. */
+  /** The bounded set of engines selected for this router. */
   readonly listSelected: (model: Model) => readonly EngineTarget[];
-  /** Routers that share the engines of the own zone changed; the sets are worked out anew. */
+  /** Sets the routers that share the engines of the local zone; a change recomputes the sets. */
   readonly setRouters: (names: readonly string[]) => void;
-  /** Every engine of the model, for a last resort. */
+  /** Every engine of the model, as a last resort. */
   readonly listAll: (model: Model) => readonly EngineTarget[];
 }
 
 export interface ServingTargetsOptions {
   readonly routerName: string;
   readonly zone: string;
-  /** Engines of one model in the own zone. */
+  /** Engines of one model in the local zone. */
   readonly setSize: number;
   readonly getConfiguration: () => Configuration;
 }
 
-/** Part of the set that lies in other zones: enough to try when the own zone fails. */
+/** Engines in other zones, relative to `setSize`: enough to try when the local zone fails. */
 const OTHER_ZONES_SHARE = 0.25;
 
 interface ModelTargets {
--- a/packages/sequoiarill-plugin-generations/src/settings.ts
+++ b/packages/sequoiarill-plugin-generations/src/settings.ts
@@ -2,13 +2,13 @@
 import * as Zod from 'zod';
 
 export const settingsSchema = Zod.strictObject({
-  /** Time to open a connection to an engine. A live one in the region answers in a few ms. */
+  /** Connect timeout. A reachable engine in the region accepts within a few milliseconds. */
   connectTimeoutMs: Zod.coerce.number().int().min(10).max(5_000).default(300),
-  /** Connections, and so streams, to one engine. */
+  /** Maximum connections to one engine; each stream uses one. */
   maxConnectionsPerEngine: Zod.coerce.number().int().min(1).max(4_096).default(512),
-  /** Engines of one model in the own zone that this router uses; a quarter more in other zones. */
+  /** Engines of one model in the local zone that this router uses; a quarter more elsewhere. */
   targetsPerModel: Zod.coerce.number().int().min(2).max(4_096).default(32),
-  /** Longest wait in the queue before a refusal; the default is that of docs/design/0003. */
+  /** Longest wait in the queue before a refusal; docs/design/0003 explains the default. */
   maxQueueMs: Zod.coerce.number().int().min(1).max(60_000).default(400),
 });
 
--- a/packages/sequoiarill-plugin-generations/src/stallTimer.ts
+++ b/packages/sequoiarill-plugin-generations/src/stallTimer.ts
@@ -1,20 +1,20 @@
 /**
- * Tells when an engine has kept a stream waiting too long.
+ * Detects that an engine has stalled a stream.
  *
- * The limit counts only while the relay waits for the engine: a caller who reads slowly holds the
- * relay up, and its engine must not be blamed for it. It counts in running time, since a router that was
- * paused would blame every engine at once for its own silence. One timer a stream is re-armed lazily:
- * clearing and setting one for each token would cost more than relaying it.
+ * The timeout runs only while the relay waits for the engine, because a caller who reads slowly also
+ * delays the relay. It uses running time, because a router that was paused would otherwise attribute
+ * its own pause to every engine. Each stream has one timer that is re-armed lazily: clearing and
+ * setting a timer for each token would cost more than relaying the token.
  */
 import * as Kernel from '@sequoiarill/kernel';
 
-/** Time can stand still after a pause; a timer is not set anew for less than this, milliseconds. */
+/** Running time may stand still after a pause; the lower bound avoids a busy loop of timers. */
 const MIN_TIMER_MS = 10;
 
 export interface StallTimer {
-  /** The relay starts to wait for the engine, for at most so long. */
+  /** Called when the relay starts to wait for the engine. */
   readonly start: (limitMs: number) => void;
-  /** The engine answered. */
+  /** Called when the engine has sent data. */
   readonly stop: () => void;
   readonly close: () => void;
 }
@@ -36,7 +36,7 @@
     else Kernel.delayPastReads(checkStall);
   }
 
-  /** Unless the engine's bytes were read meanwhile. */
+  /** Reports a stall unless data that had already arrived was read in the meantime. */
   function checkStall(): void {
     if (waitingUntilMs === undefined) return;
     if (getRunningMs() >= waitingUntilMs) onStall();
--- a/packages/sequoiarill-plugin-generations/src/stopSequences.ts
+++ b/packages/sequoiarill-plugin-generations/src/stopSequences.ts
@@ -1,6 +1,6 @@
 /**
- * Finds stop sequences in text that arrives in pieces. They belong to the whole answer: one may
- * begin in the last piece of a dead engine and end in the first piece of the next one.
+ * Finds stop sequences in streamed text. They apply to the answer as a whole: a sequence may begin in
+ * the last text of a lost engine and end in the first text of the next one.
  */
 
 export interface StopScan {
@@ -11,7 +11,7 @@
 
 export interface StopScanner {
   readonly addText: (text: string) => StopScan;
-  /** The answer has ended: what was held back is text after all. */
+  /** Returns the text held back as a possible stop sequence; called when the answer has ended. */
   readonly takeHeld: () => string;
 }
 
@@ -47,7 +47,7 @@
   return found.length === 0 ? undefined : Math.min(...found);
 }
 
-/** Length of the longest end of the text that begins a stop sequence. */
+/** Length of the longest suffix of the text that is a prefix of a stop sequence. */
 function computeHeldLength(text: string, stops: readonly string[]): number {
   const longest = Math.max(...stops.map((stop) => stop.length - 1));
   for (let length = Math.min(longest, text.length); length > 0; length -= 1) {
--- a/packages/sequoiarill-plugin-generations/src/targetViews.ts
+++ b/packages/sequoiarill-plugin-generations/src/targetViews.ts
@@ -1,4 +1,4 @@
-/** Joins what this router saw of its engines with what its peers say, as the decisions want it. */
+/** Combines this router's observations of engines with its peers' reports into target views. */
 import * as Decisions from '@sequoiarill/decisions';
 import type {
   OutlierDetector,
@@ -10,7 +10,7 @@
 
 import * as RecentCounts from './recentCounts';
 
-/** Engines are compared with their peers of the same model only. */
+/** Kept for each model, because engines are compared only with others of the same model. */
 export interface ModelStatistics {
   readonly stalls: StallPolicy;
   readonly outliers: OutlierDetector;
@@ -28,15 +28,15 @@
   readonly recordSent: (target: string, nowMs: number) => void;
   readonly recordEnd: (target: string, nowMs: number) => void;
   readonly recordFailure: (target: string, nowMs: number) => void;
-  /** The target answers again: it and the peers' word of it are as new. */
+  /** Clears the failure of a target that responds again and reports it as healthy to the peers. */
   readonly recordSuccess: (target: string) => void;
   readonly listEjected: (nowMs: number) => Readonly<Record<string, readonly string[]>>;
   readonly listFailed: (nowMs: number) => readonly string[];
 }
 
 /**
- * An engine that failed is passed over for so long and then tried again by whatever comes: a dead
- * VM's replacement takes seconds at the least, and one stray request finds it.
+ * A failed engine is not used for this time, after which the next request may try it again. Replacing
+ * a failed VM takes at least seconds, and a single request suffices to find that it is back.
  */
 const FAILURE_COOLDOWN_MS = 2_000;
 
@@ -73,8 +73,9 @@
     const ownState = outliers.getState(target.name, nowMs);
     if (ownState !== 'healthy') return ownState;
     const health = membership.getTargetHealth(target.name);
-    // Our own word that it is dead has had its time: whoever said so first also tries it first, or
-    // an engine that is back would stay unused until every router's word of it has aged.
+    // This router's own `dead` report no longer counts after the cooldown: the router that reported
+    // first also retries first. Otherwise a recovered engine would stay unused until the reports of
+    // all routers had expired.
     const isOwnReport = health?.state === 'dead' && health.observer === options.routerName;
     return health === undefined || isOwnReport ? 'healthy' : health.state;
   }
--- a/packages/sequoiarill-plugin-generations/src/targets.ts
+++ b/packages/sequoiarill-plugin-generations/src/targets.ts
@@ -1,4 +1,4 @@
-/** Decisions on engines: which one is asked, how long it may be silent, what its end tells. */
+/** Chooses engines, sets the timeouts of attempts, and evaluates how attempts end. */
 import * as Decisions from '@sequoiarill/decisions';
 import type { Model } from '@sequoiarill/types';
 
@@ -17,9 +17,9 @@
 }
 
 export interface Capacity {
-  /** Weighted by how warm an engine is. */
+  /** Each engine counts by its warm share, as a new or returning one gets less load. */
   readonly slots: number;
-  /** 0 to 1, by reports where there are some and by this router's own count elsewhere. */
+  /** 0 to 1; for each engine the higher of its load report and this router's own count. */
   readonly busyShare: number;
 }
 
@@ -30,11 +30,11 @@
   readonly recordEnd: (attempt: Attempt) => void;
   readonly recordFirstToken: (attempt: Attempt, ms: number) => void;
   readonly recordGap: (attempt: Attempt, ms: number) => void;
-  /** The engine was lost under an attempt. */
+  /** Records that the engine was lost during an attempt. */
   readonly recordFailure: (attempt: Attempt) => void;
-  /** The engine refused an attempt for lack of room. */
+  /** Records that the engine refused an attempt for lack of capacity. */
   readonly recordBusy: (attempt: Attempt) => void;
-  /** What the usable engines of a model can run, and how much of it is in use. */
+  /** Slots of the available engines of a model, and the share of them in use. */
   readonly getCapacity: (model: Model) => Capacity;
   readonly dumpTargets: () => Readonly<Record<string, unknown>>;
 }
@@ -65,7 +65,7 @@
     return { kind: 'target', target, reason: choice.reason };
   }
 
-  /** With every engine of the set gone, one outside it or one that failed may be back already. */
+  /** With no usable engine in the set, tries any live one: a failed one may have recovered. */
   function chooseLastResort(query: TargetQuery, reason: string): TargetDecision {
     const live = serving
       .listAll(query.model)
@@ -102,7 +102,7 @@
     views.getStatistics(attempt.model.name).outliers.recordFailure(name, getNowMs());
   }
 
-  /** An engine that is full by our own count is well; one that refuses when it looks idle is not. */
+  /** A refusal counts as a failure unless this router's own in-flight requests fill the engine. */
   function recordBusy(attempt: Attempt): void {
     const { name, slots } = attempt.target;
     if (getInFlight(name) >= slots) return;
@@ -146,7 +146,7 @@
   };
 }
 
-/** Tokens an engine has to prefill for an attempt; estimated until one has tokenised the prompt. */
+/** Tokens to prefill for an attempt; an estimate until an engine has tokenised the prompt. */
 function computePrefillTokens(attempt: Attempt): number {
   return attempt.tokenIds?.length ?? Prompts.computePromptTokens(attempt.request.messages);
 }
