--- a/packages/sequoiarill-plugin-generations/src/__tests__/capacityTask.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/capacityTask.test.ts
@@ -21,7 +21,7 @@
   };
 }
 
-/** Runs the task for one round and returns what it told admission and the target sets. */
+/** Runs the task for one round and returns the capacities and router lists that it set. */
 async function runRound(peers: readonly Peer[]) {
   const controller = new AbortController();
   const capacities: number[] = [];
@@ -54,16 +54,16 @@
 }
 
 describe('capacity task', () => {
-  it("divides the engines of every zone by every zone's routers", async () => {
-    // Three zones with two routers each. Divided by the routers of one zone alone, the six routers
-    // together admit three times what the engines can run, and first tokens are late for all.
+  it('divides the slots of all zones by the routers of all zones', async () => {
+    // Three zones with two routers each. If the slots are divided by the routers of one zone only, the
+    // six routers together admit three times what the engines can run, and all first tokens are late.
     const peers = [1, 2, 3, 4, 5, 6].map((index) => createPeer(index, `z${Math.ceil(index / 2)}`));
     const { capacities, sets } = await runRound(peers);
     expect(capacities).toEqual([SLOTS / 6]);
     expect(sets).toEqual([['router-1', 'router-2']]);
   });
 
-  it('counts no router that is dead or leaving', async () => {
+  it('does not count dead or leaving routers', async () => {
     const peers = [
       createPeer(1, 'z1'),
       createPeer(2, 'z1', 'dead'),
--- a/packages/sequoiarill-plugin-generations/src/__tests__/fakeEngines.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/fakeEngines.ts
@@ -1,4 +1,4 @@
-/** Engines without sockets: the next token depends only on the ids so far, as with a fixed seed. */
+/** Simulated engines without sockets; the next token depends only on the ids so far. */
 import type {
   EngineTarget,
   GenerationOutcome,
@@ -14,7 +14,7 @@
 import type { Attempt, GenerationDependencies } from '../generation';
 
 export const PROMPT_IDS: readonly number[] = [11, 12, 13];
-/** Pieces of text; the two halves of a character that needs two tokens follow each other. */
+/** Text of the tokens; `LEAD_ID` and `TRAIL_ID` together encode one further character. */
 const TOKEN_TEXTS = [' size', ' fits', ' 4', '2', ' wide', '. ', 'ha', 'lf'];
 const LEAD_ID = 100;
 const TRAIL_ID = 101;
@@ -37,13 +37,13 @@
   return id === TRAIL_ID ? 'ð' : TOKEN_TEXTS[id]!;
 }
 
-/** The events of an undisturbed run from the given ids. */
+/** Events of a run without faults that starts from the given ids. */
 export function listEvents(ids: readonly number[], maxTokens: number): readonly EngineEvent[] {
   const all = [...ids];
   const events: EngineEvent[] = [];
   for (let count = 0; count < maxTokens; count += 1) {
     const id = computeNextId(all);
-    // A continuation that starts inside a character gives it wrong, as real engines do.
+    // Like a real engine, a continuation that starts inside a character yields a wrong one.
     const isCut = id === TRAIL_ID && count === 0;
     all.push(id);
     events.push({ text: isCut ? '\uFFFD' : getText(id), tokenIds: [id] });
@@ -111,7 +111,7 @@
   return { kind: 'finished', finishReason: 'length' };
 }
 
-/** Runs a request against engines of which the first ones have the given faults. */
+/** Runs a request on engines of which the first ones have the given faults, one each. */
 export async function runRequest(
   request: GenerationRequest,
   faults: readonly Fault[],
--- a/packages/sequoiarill-plugin-generations/src/__tests__/generation.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/generation.test.ts
@@ -16,14 +16,14 @@
   FastCheck.constant<Fault>({ kind: 'busy' }),
 );
 
-/** Faults that the property below must have met in all. */
+/** Least number of faults that all runs of the property below must inject in total. */
 const MIN_INJECTED_FAULTS = 10_000;
 
 describe('generation', () => {
-  it('gives the same whole answer whatever engines are lost on the way', async () => {
-    // A caller reads one long answer while engine after engine dies, refuses or is full. The text,
-    // the count of tokens, the usage and the finish reason are those of an undisturbed run.
-    // Cause: a continuation that starts at the wrong token, or inside a character.
+  it('yields the same complete answer whichever engines are lost', async () => {
+    // While a caller reads a long answer, one engine after another is lost, refuses the connection or
+    // is busy. The text, token count, usage and finish reason must equal those of a run without
+    // faults. They differ if a continuation starts at the wrong token or inside a character.
     let injectedFaults = 0;
     await FastCheck.assert(
       FastCheck.asyncProperty(
@@ -47,16 +47,16 @@
     expect(injectedFaults >= MIN_INJECTED_FAULTS).toEqual(true);
   });
 
-  it('raises the fencing number with each engine and never asks one twice', async () => {
+  it('increases the fencing number with each engine and tries no engine twice', async () => {
     const faults: readonly Fault[] = [{ kind: 'lost', afterEvents: 3 }, { kind: 'busy' }];
     const { attempts: orders } = await FakeEngines.runRequest(FakeEngines.createRequest(), faults);
     expect(orders.map((attempt) => attempt.generation)).toEqual([1, 2, 3]);
     expect(new Set(orders.map((attempt) => attempt.target.name)).size).toEqual(3);
   });
 
-  it('says "not run" only while no engine may have run it', async () => {
-    // A caller is told that a request was not run, sends it again and pays twice. It must hear
-    // "not run" when every engine refused the connection, and "lost" once one may have begun.
+  it('reports "not run" only if no engine can have run the request', async () => {
+    // A caller that is told "not run" sends the request again, and pays twice if an engine ran it. The
+    // outcome is `notRun` if every engine refused the connection, and `lost` once one may have started.
     const request = FakeEngines.createRequest();
     const refused = await FakeEngines.runRequest(request, [{ kind: 'refused' }], 1);
     const lost = await FakeEngines.runRequest(request, [{ kind: 'lost', afterEvents: 0 }], 1);
@@ -64,7 +64,7 @@
     expect(lost.outcome.kind).toEqual('lost');
   });
 
-  it('tells when to come back after every engine asked is full', async () => {
+  it('returns the retry delay when every engine tried is at capacity', async () => {
     const faults: readonly Fault[] = Array.from({ length: 6 }, () => ({ kind: 'busy' }) as const);
     const { outcome, attempts: orders } = await FakeEngines.runRequest(
       FakeEngines.createRequest(),
@@ -79,9 +79,9 @@
     });
   });
 
-  it('ends an answer whose engine died after the last token', async () => {
-    // The engine gives the last token that the output limit allows and dies before it says so.
-    // Asking another engine for zero tokens would be refused; the answer is whole as it is.
+  it('completes an answer whose engine is lost after the last token', async () => {
+    // The engine sends the last token within the output limit and is lost before the finish reason.
+    // Another engine would refuse a request for zero tokens, and the answer is already complete.
     const request = FakeEngines.createRequest({ maxOutputTokens: 7, stop: ['never'] });
     const undisturbed = await FakeEngines.runRequest(request, []);
     const run = await FakeEngines.runRequest(request, [{ kind: 'lost', afterEvents: 7 }]);
--- a/packages/sequoiarill-plugin-generations/src/__tests__/loadPoller.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/loadPoller.test.ts
@@ -21,7 +21,7 @@
   checksFencing: true,
 }));
 
-/** Polls one round and returns what was told; engines of odd number never answer. */
+/** Polls one round and returns the reports; engines with odd numbers refuse the connection. */
 async function runRound(routerName: string, routers: readonly string[]) {
   const agent = new Undici.MockAgent();
   agent.disableNetConnect();
@@ -45,16 +45,16 @@
 }
 
 describe('load poller', () => {
-  it('asks every engine when the router is alone, and tells only what was answered', async () => {
+  it('polls every engine if there is one router, and reports only engines that responded', async () => {
     const reports = await runRound('router-0', ['router-0']);
     expect(reports.length).toEqual(ENGINES / 2);
     const draining = reports.filter(({ state }) => state === 'leaving');
     expect(draining).toEqual([{ target: 'engine-4', state: 'leaving', running: 4, waiting: 1 }]);
   });
 
-  it('has two of the routers ask each engine, so that calls do not grow with routers', async () => {
-    // A zone grows from two routers to eight. If each of them asked every engine, an engine would
-    // answer eight times as often for the same knowledge, and control would outgrow its budget.
+  it('polls each engine from two routers only, so that calls do not grow with routers', async () => {
+    // If each of a zone's eight routers polled every engine, an engine would be polled eight times per
+    // round for the same information, and control traffic would exceed its budget.
     const rounds = await Promise.all(ROUTERS.map((name) => runRound(name, ROUTERS)));
     const polls = new Map<string, number>();
     for (const { target } of rounds.flat()) polls.set(target, (polls.get(target) ?? 0) + 1);
--- a/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
@@ -12,12 +12,12 @@
   readonly timer: StallTimers.StallTimer;
   readonly countStalls: () => number;
   readonly runFor: (ms: number) => Promise<void>;
-  /** Moves the clock alone, so that timers are late. */
+  /** Advances the clock in one step, so that timers fire late. */
   readonly simulatePause: (ms: number) => void;
 }
 
 async function simulateTimer(
-  runScenario: (parts: TimerSimulation) => Promise<void>,
+  runScenario: (simulation: TimerSimulation) => Promise<void>,
 ): Promise<void> {
   let nowMs = 0;
   let stalls = 0;
@@ -48,10 +48,10 @@
   }
 }
 
-describe('the limit on the silence of an engine', () => {
+describe('stall timer', () => {
   for (const pauseMs of [300, 800, 1_400, 2_500, 3_800, 5_500]) {
-    it(`does not count a pause of the router of ${pauseMs} ms`, async () => {
-      // Guards against a second engine for each stream of a router that was paused and woken.
+    it(`does not count a router pause of ${pauseMs} ms`, async () => {
+      // Guards against a router that moves all its streams to other engines after its own pause.
       await simulateTimer(async ({ timer, countStalls, runFor, simulatePause: pauseFor }) => {
         timer.start(LIMIT_MS);
         await runFor(400);
@@ -62,8 +62,8 @@
     });
   }
 
-  it('counts from where it was, so that an engine that died meanwhile is left', async () => {
-    // Guards against a stream that waits without end for an engine which ended during the pause.
+  it('continues to count after a pause, so that an engine lost meanwhile is detected', async () => {
+    // Guards against a stream that waits forever for an engine that stopped during the pause.
     await simulateTimer(async ({ timer, countStalls, runFor, simulatePause: pauseFor }) => {
       timer.start(LIMIT_MS);
       await runFor(400);
@@ -73,7 +73,7 @@
     });
   });
 
-  it('is over after the limit where nothing holds the router up', async () => {
+  it('reports one stall at the limit if the router is not delayed', async () => {
     await simulateTimer(async ({ timer, countStalls, runFor }) => {
       timer.start(LIMIT_MS);
       await runFor(LIMIT_MS - CLOCK_STEP_MS);
--- a/packages/sequoiarill-plugin-generations/src/__tests__/stopSequences.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stopSequences.test.ts
@@ -6,7 +6,7 @@
 import * as StopSequences from '../stopSequences';
 
 describe('stop sequences', () => {
-  it('find the same end however the text is cut', () => {
+  it('are found at the same position however the text is split', () => {
     const letters = FastCheck.string({
       unit: FastCheck.constantFrom('a', 'b', 'c'),
       maxLength: 40,
@@ -26,7 +26,7 @@
             released += scan.released;
             stopped = scan.stopped;
           }
-          if (!stopped) released += scanner.takeHeld();
+          if (!stopped) released += scanner.takeHeldText();
           const unsplit = StopSequences.createStopScanner(stops).addText(text);
           const isSame = stopped === unsplit.stopped && (!stopped || text.startsWith(released));
           expect(isSame).toEqual(true);
--- a/packages/sequoiarill-plugin-generations/src/__tests__/targets.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/targets.test.ts
@@ -55,10 +55,10 @@
 }
 
 describe('targets', () => {
-  it('take a lost engine out of the capacity at once and back after its time', () => {
-    // A third of the engines is lost and the limit stays as it was: every continued stream meets a
-    // full engine. The capacity falls with the first loss; two seconds later the engine is tried
-    // again although this router's own word that it is dead has not aged at its peers yet.
+  it('exclude a lost engine from the capacity until its cooldown has passed', () => {
+    // If the limit stays the same when a third of the engines is lost, every continued stream meets a
+    // full engine. So the capacity falls with the first loss. Two seconds later the engine is tried
+    // again, although this router's own `dead` report has not expired at its peers yet.
     const { targets, health, order, passMs, reports } = createFixture();
     targets.recordFailure(order(0));
     health.set('engine-0', { target: 'engine-0', state: 'dead', observer: 'router-1', ageMs: 0 });
@@ -69,15 +69,15 @@
     expect(reports.map(({ state }) => state)).toEqual(['dead', 'healthy']);
   });
 
-  it("go by a peer's word that an engine is dead, without a loss of their own", () => {
-    // One router of the zone saw an engine die. The others would each lose a stream to find out.
+  it("accept a peer's report that an engine is dead", () => {
+    // Without the report of the one router that saw the failure, each other router would lose a stream.
     const { targets, health } = createFixture();
     health.set('engine-1', { target: 'engine-1', state: 'dead', observer: 'router-2', ageMs: 300 });
     expect(targets.getCapacity(FakeEngines.model).slots).toEqual(2 * SLOTS);
   });
 
-  it('count what the zone runs on an engine, not only what this router does', () => {
-    // Two routers share three engines. Each sees its own half and would admit twice what fits.
+  it('include the load that other routers of the zone report in the busy share', () => {
+    // Two routers that share three engines and count only their own half admit twice the capacity.
     const { targets, health, inFlight } = createFixture();
     inFlight.set('engine-2', 3);
     const seen = { state: 'healthy', observer: 'router-2', ageMs: 100 } as const;
--- a/packages/sequoiarill-plugin-generations/src/answer.ts
+++ b/packages/sequoiarill-plugin-generations/src/answer.ts
@@ -98,7 +98,7 @@
     const scan = scanner.addText(pendingText);
     const tokenCount = takePending();
     if (scan.stopped) return { text: scan.released, tokenCount, finishReason: 'stop' };
-    return { text: scan.released + scanner.takeHeld(), tokenCount, finishReason };
+    return { text: scan.released + scanner.takeHeldText(), tokenCount, finishReason };
   }
 
   return {
--- a/packages/sequoiarill-plugin-generations/src/attempt.ts
+++ b/packages/sequoiarill-plugin-generations/src/attempt.ts
@@ -110,10 +110,10 @@
   );
 }
 
-function parseEvents(datas: readonly string[] | undefined): readonly EngineEvent[] | undefined {
-  if (datas === undefined) return undefined;
+function parseEvents(eventData: readonly string[] | undefined): readonly EngineEvent[] | undefined {
+  if (eventData === undefined) return undefined;
   const events: EngineEvent[] = [];
-  for (const data of datas) {
+  for (const data of eventData) {
     if (data === EngineEvents.STREAM_END) break;
     const event = EngineEvents.parseEngineEvent(data);
     if (event === undefined) return undefined;
--- a/packages/sequoiarill-plugin-generations/src/enginePools.ts
+++ b/packages/sequoiarill-plugin-generations/src/enginePools.ts
@@ -10,7 +10,7 @@
 export interface EnginePools {
   readonly getPool: (target: EngineTarget) => EnginePool;
   readonly getInFlight: (target: string) => number;
-  readonly addInFlight: (target: string, change: 1 | -1) => void;
+  readonly addInFlight: (target: string, delta: 1 | -1) => void;
   /** Closes pools of targets that left the configuration, after their in-flight streams have ended. */
   readonly removeMissing: (targets: ReadonlySet<string>) => void;
   readonly close: () => Promise<void>;
@@ -58,8 +58,8 @@
       return openEntry(target);
     },
     getInFlight: (target) => inFlight.get(target) ?? 0,
-    addInFlight(target, change) {
-      const count = (inFlight.get(target) ?? 0) + change;
+    addInFlight(target, delta) {
+      const count = (inFlight.get(target) ?? 0) + delta;
       if (count === 0) inFlight.delete(target);
       else inFlight.set(target, count);
     },
--- a/packages/sequoiarill-plugin-generations/src/engineRequests.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineRequests.ts
@@ -22,7 +22,7 @@
 
 export function createEngineRequest(attempt: Attempt): EngineRequest {
   const { request, target, model } = attempt;
-  const shared = {
+  const commonFields = {
     model: findServedName(target, model) ?? model.name,
     max_tokens: attempt.maxTokens,
     stream: true,
@@ -35,8 +35,8 @@
   };
   // The relay applies stop sequences itself: an engine sees only its part of the answer's text.
   return attempt.tokenIds === undefined
-    ? { path: CHAT_PATH, body: { ...shared, messages: request.messages } }
-    : { path: COMPLETION_PATH, body: { ...shared, prompt: attempt.tokenIds } };
+    ? { path: CHAT_PATH, body: { ...commonFields, messages: request.messages } }
+    : { path: COMPLETION_PATH, body: { ...commonFields, prompt: attempt.tokenIds } };
 }
 
 export function createCancelPath(requestId: string): string {
--- a/packages/sequoiarill-plugin-generations/src/generation.ts
+++ b/packages/sequoiarill-plugin-generations/src/generation.ts
@@ -123,11 +123,11 @@
   dependencies: GenerationDependencies,
 ): AsyncGenerator<TokenBatch, AttemptResult, void> {
   const events = dependencies.runAttempt(attempt);
-  let isWanted = true;
+  let isRunning = true;
   try {
     for (;;) {
       const next = await events.next();
-      isWanted = next.done !== true;
+      isRunning = next.done !== true;
       if (next.done) return yield* relayResult(next.value, attempt, progress);
       const step = progress.answer.addEvents(next.value);
       if (step.tokenCount > 0) reportResume(attempt, progress, dependencies);
@@ -136,7 +136,7 @@
     }
   } finally {
     // The engine still generates: a stop sequence ended the answer, or its reader has left.
-    if (isWanted) dependencies.cancelAttempt(attempt);
+    if (isRunning) dependencies.cancelAttempt(attempt);
     await events.return({ kind: 'cancelled' });
   }
 }
--- a/packages/sequoiarill-plugin-generations/src/loadPoller.ts
+++ b/packages/sequoiarill-plugin-generations/src/loadPoller.ts
@@ -58,8 +58,8 @@
   return {
     async runRound(engines, routers) {
       const names = engines.map(({ name }) => name);
-      const isAlone = routers.length < 2;
-      const selected = new Set(isAlone ? names : targetSet.selectTargets(names, routers));
+      const isOnlyRouter = routers.length < 2;
+      const selected = new Set(isOnlyRouter ? names : targetSet.selectTargets(names, routers));
       const reads = engines
         .filter(({ name }) => selected.has(name))
         // A failed poll is ignored: only attempts determine whether an engine has failed.
--- a/packages/sequoiarill-plugin-generations/src/stopSequences.ts
+++ b/packages/sequoiarill-plugin-generations/src/stopSequences.ts
@@ -12,34 +12,34 @@
 export interface StopScanner {
   readonly addText: (text: string) => StopScan;
   /** Returns the text held back as a possible stop sequence; called when the answer has ended. */
-  readonly takeHeld: () => string;
+  readonly takeHeldText: () => string;
 }
 
 export function createStopScanner(stops: readonly string[]): StopScanner {
-  let held = '';
+  let heldText = '';
 
   function addText(text: string): StopScan {
-    const buffered = held + text;
+    const buffered = heldText + text;
     const firstStop = findFirstStop(buffered, stops);
     if (firstStop !== undefined) {
-      held = '';
+      heldText = '';
       return { released: buffered.slice(0, firstStop), stopped: true };
     }
     const heldLength = computeHeldLength(buffered, stops);
-    held = buffered.slice(buffered.length - heldLength);
+    heldText = buffered.slice(buffered.length - heldLength);
     return { released: buffered.slice(0, buffered.length - heldLength), stopped: false };
   }
 
   function takeHeld(): string {
-    const rest = held;
-    held = '';
+    const rest = heldText;
+    heldText = '';
     return rest;
   }
 
   if (stops.length === 0) {
-    return { addText: (text) => ({ released: text, stopped: false }), takeHeld: () => '' };
+    return { addText: (text) => ({ released: text, stopped: false }), takeHeldText: () => '' };
   }
-  return { addText, takeHeld };
+  return { addText, takeHeldText: takeHeld };
 }
 
 function findFirstStop(text: string, stops: readonly string[]): number | undefined {
--- a/packages/sequoiarill-plugin-generations/src/targetViews.ts
+++ b/packages/sequoiarill-plugin-generations/src/targetViews.ts
@@ -59,8 +59,8 @@
   }
 
   function isCoolingDown(target: string, nowMs: number): boolean {
-    const failedAt = failedAtMs.get(target);
-    return failedAt !== undefined && nowMs - failedAt < FAILURE_COOLDOWN_MS;
+    const lastFailedAtMs = failedAtMs.get(target);
+    return lastFailedAtMs !== undefined && nowMs - lastFailedAtMs < FAILURE_COOLDOWN_MS;
   }
 
   function getState(
