--- a/packages/sequoiarill-plugin-generations/src/answer.ts
+++ b/packages/sequoiarill-plugin-generations/src/answer.ts
@@ -33,7 +33,7 @@
 
 export interface Answer {
   readonly addEvents: (events: readonly EngineEvent[]) => AnswerStep;
-  /** Ends the answer; the step contains the remaining text, which may hold a stop sequence. */
+  /** Ends the answer and returns the remaining text, up to a stop sequence if it contains one. */
   readonly closeAnswer: (finishReason: FinishReason) => AnswerStep;
   /** Discards the pending ids of an engine that was lost. */
   readonly removePending: () => void;
--- a/packages/sequoiarill-plugin-generations/src/capacityTask.ts
+++ b/packages/sequoiarill-plugin-generations/src/capacityTask.ts
@@ -37,7 +37,7 @@
   }
 }
 
-/** Separate from the capacity task, because an engine that hangs delays its polling round. */
+/** A separate task: an engine that hangs delays its polling round but must not delay admission. */
 export async function runPollTask(
   options: CapacityTaskOptions,
   signal: AbortSignal,
