--- a/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
@@ -6,17 +6,19 @@
 import * as StallTimers from '../stallTimer';
 
 const LIMIT_MS = 900;
-const STEP_MS = 10;
+const CLOCK_STEP_MS = 10;
 
-interface Play {
+interface TimerSimulation {
   readonly timer: StallTimers.StallTimer;
   readonly countStalls: () => number;
   readonly runFor: (ms: number) => Promise<void>;
-  /** Moves the clock alone, so that timers are late. */
-  readonly pauseFor: (ms: number) => void;
+  /** Advances the clock in one step, so that timers fire late. */
+  readonly simulatePause: (ms: number) => void;
 }
 
-async function playTimer(play: (parts: Play) => Promise<void>): Promise<void> {
+async function simulateTimer(
+  runScenario: (simulation: TimerSimulation) => Promise<void>,
+): Promise<void> {
   let nowMs = 0;
   let stalls = 0;
   const getRunningMs = Kernel.createRunningTime(() => nowMs);
@@ -25,18 +27,18 @@
   });
   mock.timers.enable({ apis: ['setTimeout'] });
   try {
-    await play({
+    await runScenario({
       timer,
       countStalls: () => stalls,
       async runFor(ms) {
-        for (let passed = 0; passed < ms; passed += STEP_MS) {
-          nowMs += STEP_MS;
+        for (let passed = 0; passed < ms; passed += CLOCK_STEP_MS) {
+          nowMs += CLOCK_STEP_MS;
           getRunningMs();
-          mock.timers.tick(STEP_MS);
+          mock.timers.tick(CLOCK_STEP_MS);
           await new Promise<void>(Kernel.delayPastReads);
         }
       },
-      pauseFor(ms) {
+      simulatePause(ms) {
         nowMs += ms;
         mock.timers.tick(ms);
       },
@@ -46,11 +48,11 @@
   }
 }
 
-describe('the limit on the silence of an engine', () => {
+describe('stall timer', () => {
   for (const pauseMs of [300, 800, 1_400, 2_500, 3_800, 5_500]) {
-    it(`does not count a pause of the router of ${pauseMs} ms`, async () => {
-      // Guards against a second engine for each stream of a router that was paused and woken.
-      await playTimer(async ({ timer, countStalls, runFor, pauseFor }) => {
+    it(`does not count a router pause of ${pauseMs} ms`, async () => {
+      // Guards against a router that moves all its streams to other engines after its own pause.
+      await simulateTimer(async ({ timer, countStalls, runFor, simulatePause: pauseFor }) => {
         timer.start(LIMIT_MS);
         await runFor(400);
         pauseFor(pauseMs);
@@ -60,9 +62,9 @@
     });
   }
 
-  it('counts from where it was, so that an engine that died meanwhile is left', async () => {
-    // Guards against a stream that waits without end for an engine which ended during the pause.
-    await playTimer(async ({ timer, countStalls, runFor, pauseFor }) => {
+  it('continues to count after a pause, so that an engine lost meanwhile is detected', async () => {
+    // Guards against a stream that waits forever for an engine that stopped during the pause.
+    await simulateTimer(async ({ timer, countStalls, runFor, simulatePause: pauseFor }) => {
       timer.start(LIMIT_MS);
       await runFor(400);
       pauseFor(5_500);
@@ -71,12 +73,12 @@
     });
   });
 
-  it('is over after the limit where nothing holds the router up', async () => {
-    await playTimer(async ({ timer, countStalls, runFor }) => {
+  it('reports one stall at the limit if the router is not delayed', async () => {
+    await simulateTimer(async ({ timer, countStalls, runFor }) => {
       timer.start(LIMIT_MS);
-      await runFor(LIMIT_MS - STEP_MS);
+      await runFor(LIMIT_MS - CLOCK_STEP_MS);
       expect(countStalls()).toEqual(0);
-      await runFor(3 * STEP_MS);
+      await runFor(3 * CLOCK_STEP_MS);
       expect(countStalls()).toEqual(1);
     });
   });
--- a/packages/sequoiarill-plugin-generations/src/capacityTask.ts
+++ b/packages/sequoiarill-plugin-generations/src/capacityTask.ts
@@ -1,12 +1,12 @@
 /**
- * Keeps admission and target sets up with engines and routers that come and go.
+ * Updates the admission limits and the target sets as engines and routers join and leave.
  *
- * After a third of the engines is lost the limit must fall at once: finding it from late first tokens
- * takes half a minute, in which every continued stream meets a full engine.
+ * When a third of the engines is lost, the limit must fall immediately: deriving it from late first
+ * tokens takes half a minute, during which every continued stream meets a full engine.
  */
 import type { Clock, ConfigurationReader, EngineTarget, Membership } from '@sequoiarill/types';
 
-import type { AdmissionGate } from './admissionGate';
+import type { AdmissionController } from './admissionController';
 import type { LoadPoller } from './loadPoller';
 import * as LoadPollers from './loadPoller';
 import type { ServingTargets } from './servingTargets';
@@ -20,12 +20,11 @@
   readonly membership: Pick<Membership, 'listPeers'>;
   readonly serving: ServingTargets;
   readonly targets: Targets;
-  readonly gate: AdmissionGate;
+  readonly admission: AdmissionController;
   readonly poller: LoadPoller;
 }
 
-/** How often admission hears of engines lost and won. */
-const CAPACITY_MS = 250;
+const CAPACITY_UPDATE_INTERVAL_MS = 250;
 
 export async function runCapacityTask(
   options: CapacityTaskOptions,
@@ -34,30 +33,30 @@
   while (!signal.aborted) {
     options.serving.setRouters(listRouters(options, true));
     updateCapacity(options);
-    await options.clock.waitMs(CAPACITY_MS, signal);
+    await options.clock.waitMs(CAPACITY_UPDATE_INTERVAL_MS, signal);
   }
 }
 
-/** A task of its own: an engine that hangs holds its round up, and admission must not wait for it. */
+/** A separate task: an engine that hangs delays its polling round but must not delay admission. */
 export async function runPollTask(
   options: CapacityTaskOptions,
   signal: AbortSignal,
 ): Promise<void> {
   while (!signal.aborted) {
     await options.poller.runRound(listEngines(options), listRouters(options, true));
-    await options.clock.waitMs(LoadPollers.POLL_MS, signal);
+    await options.clock.waitMs(LoadPollers.POLL_INTERVAL_MS, signal);
   }
 }
 
-/** Routers that serve now, this one among them; of the own zone only, or of all zones. */
+/** Alive routers including this one, in the local zone or in all zones. */
 function listRouters(
   { membership, zone, routerName }: CapacityTaskOptions,
-  isOfZone: boolean,
+  isZoneOnly: boolean,
 ): readonly string[] {
   const others = membership
     .listPeers()
     .filter((peer) => peer.state === 'alive' && peer.name !== routerName)
-    .filter((peer) => !isOfZone || peer.zone === zone);
+    .filter((peer) => !isZoneOnly || peer.zone === zone);
   return [routerName, ...others.map(({ name }) => name)].sort();
 }
 
@@ -68,12 +67,12 @@
   );
 }
 
-/** A router may use engines of every zone, so the routers of every zone share their slots. */
+/** Divides the slots by the routers of all zones, as any router may use engines of any zone. */
 function updateCapacity(options: CapacityTaskOptions): void {
-  const { configuration, targets, gate } = options;
+  const { configuration, targets, admission } = options;
   const routers = listRouters(options, false).length;
   for (const model of configuration.getConfiguration().models.values()) {
     const { slots, busyShare } = targets.getCapacity(model);
-    gate.setCapacity(model.name, slots / routers, busyShare);
+    admission.setCapacity(model.name, slots / routers, busyShare);
   }
 }
--- a/packages/sequoiarill-plugin-generations/src/enginePools.ts
+++ b/packages/sequoiarill-plugin-generations/src/enginePools.ts
@@ -1,4 +1,4 @@
-/** One connection pool for each engine, with what this router has open there. */
+/** Connection pool and count of in-flight attempts for each engine. */
 import type { EngineTarget } from '@sequoiarill/types';
 import * as Undici from 'undici';
 
@@ -10,56 +10,56 @@
 export interface EnginePools {
   readonly getPool: (target: EngineTarget) => EnginePool;
   readonly getInFlight: (target: string) => number;
-  readonly addInFlight: (target: string, change: 1 | -1) => void;
-  /** Closes pools of targets that left the configuration; streams in progress end first. */
+  readonly addInFlight: (target: string, delta: 1 | -1) => void;
+  /** Closes pools of targets that left the configuration, after their in-flight streams have ended. */
   readonly removeMissing: (targets: ReadonlySet<string>) => void;
   readonly close: () => Promise<void>;
 }
 
 export interface EnginePoolOptions {
   readonly connectTimeoutMs: number;
-  /** Connections to one engine; a stream holds one. */
+  /** Maximum connections to one engine; each stream uses one. */
   readonly maxConnections: number;
 }
 
-interface Entry extends EnginePool {
+interface PoolEntry extends EnginePool {
   readonly address: string;
   readonly pool: Undici.Pool;
 }
 
 export function createEnginePools(options: EnginePoolOptions): EnginePools {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, PoolEntry>();
   const inFlight = new Map<string, number>();
 
-  function openEntry(target: EngineTarget): Entry {
+  function openEntry(target: EngineTarget): PoolEntry {
     const origin = `http://${target.address}`;
-    // Headers and body have no limits here: the attempt's own limits know what it waits for.
+    // No timeouts for headers and body: the stall timer of each attempt covers both.
     const pool = new Undici.Pool(origin, {
       connections: options.maxConnections,
       connect: { timeout: options.connectTimeoutMs },
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    const entry: Entry = { address: target.address, pool, dispatcher: pool, origin };
+    const entry: PoolEntry = { address: target.address, pool, dispatcher: pool, origin };
     entries.set(target.name, entry);
     return entry;
   }
 
-  function closeEntry(name: string, entry: Entry): void {
+  function closeEntry(name: string, entry: PoolEntry): void {
     entries.delete(name);
     entry.pool.close().catch(() => undefined);
   }
 
   return {
     getPool(target) {
-      const known = entries.get(target.name);
-      if (known !== undefined && known.address === target.address) return known;
-      if (known !== undefined) closeEntry(target.name, known);
+      const existing = entries.get(target.name);
+      if (existing !== undefined && existing.address === target.address) return existing;
+      if (existing !== undefined) closeEntry(target.name, existing);
       return openEntry(target);
     },
     getInFlight: (target) => inFlight.get(target) ?? 0,
-    addInFlight(target, change) {
-      const count = (inFlight.get(target) ?? 0) + change;
+    addInFlight(target, delta) {
+      const count = (inFlight.get(target) ?? 0) + delta;
       if (count === 0) inFlight.delete(target);
       else inFlight.set(target, count);
     },
--- a/packages/sequoiarill-plugin-generations/src/engineRequests.ts
+++ b/packages/sequoiarill-plugin-generations/src/engineRequests.ts
@@ -1,7 +1,7 @@
-/** What is sent to an engine: a chat completion at the start, a completion by token ids after. */
+/** Requests to engines: a chat completion first, completions by token ids for continuations. */
 import type { EngineTarget, Model } from '@sequoiarill/types';
 
-import type { AttemptOrder } from './generation';
+import type { Attempt } from './generation';
 
 const CHAT_PATH = '/v1/chat/completions';
 const COMPLETION_PATH = '/v1/completions';
@@ -12,19 +12,19 @@
 }
 
 /**
- * The name under which a target serves a model, or undefined. A target that names a version serves
- * only that one, so that a continuation never changes the version while a new one rolls out.
+ * The name under which a target serves a model, or undefined. A name with a version matches only that
+ * version, so that a continuation never changes versions during a rollout.
  */
 export function findServedName(target: EngineTarget, model: Model): string | undefined {
   const pinned = `${model.name}@${model.version}`;
   return target.models.find((served) => served === pinned || served === model.name);
 }
 
-export function createEngineRequest(order: AttemptOrder): EngineRequest {
-  const { request, target, model } = order;
-  const shared = {
+export function createEngineRequest(attempt: Attempt): EngineRequest {
+  const { request, target, model } = attempt;
+  const commonFields = {
     model: findServedName(target, model) ?? model.name,
-    max_tokens: order.maxTokens,
+    max_tokens: attempt.maxTokens,
     stream: true,
     stream_options: { include_usage: true },
     return_token_ids: true,
@@ -33,10 +33,10 @@
     ...(request.topP !== undefined && { top_p: request.topP }),
     ...(request.seed !== undefined && { seed: request.seed }),
   };
-  // Stop sequences stay with the relay: an engine sees only its part of the answer's text.
-  return order.tokenIds === undefined
-    ? { path: CHAT_PATH, body: { ...shared, messages: request.messages } }
-    : { path: COMPLETION_PATH, body: { ...shared, prompt: order.tokenIds } };
+  // The relay applies stop sequences itself: an engine sees only its part of the answer's text.
+  return attempt.tokenIds === undefined
+    ? { path: CHAT_PATH, body: { ...commonFields, messages: request.messages } }
+    : { path: COMPLETION_PATH, body: { ...commonFields, prompt: attempt.tokenIds } };
 }
 
 export function createCancelPath(requestId: string): string {
--- a/packages/sequoiarill-plugin-generations/src/loadPoller.ts
+++ b/packages/sequoiarill-plugin-generations/src/loadPoller.ts
@@ -1,9 +1,9 @@
 /**
- * Asks engines how loaded they are, and tells the zone's other routers.
+ * Polls engines for their load and reports it to the zone's other routers.
  *
- * A router's own count misses what others send: 32 routers of a zone that each see an idle engine
- * bury it together. Each engine is asked by two of the zone's routers only, chosen by rank, and
- * membership carries the answer to the rest; so the calls grow with engines and not with routers.
+ * A router's own in-flight count misses what others send: 32 routers of a zone that each see an idle
+ * engine overload it together. Only two of the zone's routers, chosen by rendezvous hashing, poll
+ * each engine, and membership distributes the result; so the calls grow with engines, not routers.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type { EngineTarget, Membership } from '@sequoiarill/types';
@@ -11,10 +11,10 @@
 
 import type { EnginePools } from './enginePools';
 
-/** Reports fade within seconds; asking more often would spend control bytes on noise. */
-export const POLL_MS = 2_000;
-/** An answer later than this says nothing of now. */
-const ANSWER_TIMEOUT_MS = 900;
+/** Reports are outdated within seconds; faster polling would spend control bandwidth on noise. */
+export const POLL_INTERVAL_MS = 2_000;
+/** A later response no longer describes the current load. */
+const RESPONSE_TIMEOUT_MS = 900;
 const HTTP_OK = 200;
 
 const loadSchema = Zod.object({
@@ -30,7 +30,7 @@
 }
 
 export interface LoadPoller {
-  /** Asks this router's part of the engines; ends when all have answered or run out of time. */
+  /** Polls this router's share of the engines; ends when all have responded or timed out. */
   readonly runRound: (
     engines: readonly EngineTarget[],
     routers: readonly string[],
@@ -38,11 +38,11 @@
 }
 
 export function createLoadPoller(options: LoadPollerOptions): LoadPoller {
-  const part = Decisions.createTargetSet({ routerName: options.routerName, size: 1 });
+  const targetSet = Decisions.createTargetSet({ routerName: options.routerName, size: 1 });
 
   async function readLoad(engine: EngineTarget): Promise<void> {
     const { dispatcher, origin } = options.pools.getPool(engine);
-    const signal = AbortSignal.timeout(ANSWER_TIMEOUT_MS);
+    const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MS);
     const response = await dispatcher.request({ origin, path: '/load', method: 'GET', signal });
     if (response.statusCode !== HTTP_OK) {
       await response.body.dump();
@@ -58,11 +58,11 @@
   return {
     async runRound(engines, routers) {
       const names = engines.map(({ name }) => name);
-      const isAlone = routers.length < 2;
-      const asked = new Set(isAlone ? names : part.selectTargets(names, routers));
+      const isOnlyRouter = routers.length < 2;
+      const selected = new Set(isOnlyRouter ? names : targetSet.selectTargets(names, routers));
       const reads = engines
-        .filter(({ name }) => asked.has(name))
-        // An engine that does not answer is judged by the attempts sent to it, not by this.
+        .filter(({ name }) => selected.has(name))
+        // A failed poll is ignored: only attempts determine whether an engine has failed.
         .map((engine) => readLoad(engine).catch(() => undefined));
       await Promise.all(reads);
     },
--- a/packages/sequoiarill-plugin-generations/src/progress.ts
+++ b/packages/sequoiarill-plugin-generations/src/progress.ts
@@ -1,4 +1,4 @@
-/** What one generation has gone through so far, and the outcomes that follow from it. */
+/** State of one generation over all its attempts, and the outcomes derived from it. */
 import type {
   FinishReason,
   GenerationCancelled,
@@ -10,30 +10,30 @@
 
 import * as Answers from './answer';
 import type { Answer } from './answer';
-import type { AttemptLost } from './attemptEnds';
+import type { AttemptLost } from './attemptResults';
 
-const RETRY_SECONDS = 2;
+const DEFAULT_RETRY_AFTER_SECONDS = 2;
 
 export interface Progress {
   readonly answer: Answer;
-  /** Engines that failed or refused this request; not asked again. */
+  /** Engines that failed or refused this request; not tried again. */
   readonly getExcluded: () => ReadonlySet<string>;
   /** Starts the next generation and returns its number, which is also its fencing number. */
   readonly addGeneration: () => number;
   readonly getGeneration: () => number;
-  /** Returns how many engines were lost. */
+  /** Returns the number of engines lost so far. */
   readonly addLoss: (target: string, loss: AttemptLost, nowMs: number) => number;
-  /** Returns how many engines refused. */
+  /** Returns the number of engines that refused so far. */
   readonly addRefusal: (target: string, retryAfterSeconds: number) => number;
-  /** Whether an engine may have run any of it: from then on it is never said to be "not run". */
-  readonly hasMaybeRun: () => boolean;
-  /** When the last engine was lost; undefined if tokens have flowed since. */
+  /** Whether an engine may have run part of the request; if so, it never ends as `notRun`. */
+  readonly hasPossiblyRun: () => boolean;
+  /** Returns and clears the time of the first loss since the last token, if there was one. */
   readonly takeLostAtMs: () => number | undefined;
   readonly setRetryAfter: (seconds: number) => void;
   readonly createCompleted: (finishReason: FinishReason) => GenerationCompleted;
   readonly createCancelled: () => GenerationCancelled;
-  /** The final answer of a request that is given up, told at once. */
-  readonly createGivenUp: (
+  /** The outcome of a request that no further engine is tried for. */
+  readonly createFailure: (
     reason: GenerationNotRun['reason'],
     message: string,
   ) => GenerationLost | GenerationNotRun;
@@ -47,7 +47,7 @@
   let refusals = 0;
   let mayHaveRun = false;
   let lostAtMs: number | undefined;
-  let retryAfterSeconds = RETRY_SECONDS;
+  let retryAfterSeconds = DEFAULT_RETRY_AFTER_SECONDS;
 
   return {
     answer,
@@ -71,7 +71,7 @@
       retryAfterSeconds = seconds;
       return refusals;
     },
-    hasMaybeRun: () => mayHaveRun,
+    hasPossiblyRun: () => mayHaveRun,
     takeLostAtMs() {
       const since = lostAtMs;
       lostAtMs = undefined;
@@ -86,7 +86,7 @@
       usage: answer.getUsage(),
     }),
     createCancelled: () => ({ kind: 'cancelled', usage: answer.getUsage() }),
-    createGivenUp: (reason, message) =>
+    createFailure: (reason, message) =>
       mayHaveRun
         ? { kind: 'lost', message, usage: answer.getUsage(), retryAfterSeconds }
         : { kind: 'notRun', reason, message, retryAfterSeconds },
--- a/packages/sequoiarill-plugin-generations/src/recentCounts.ts
+++ b/packages/sequoiarill-plugin-generations/src/recentCounts.ts
@@ -1,14 +1,16 @@
 /**
- * How many attempts of this router began or ended at each target lately.
+ * Counts the attempts of this router that recently started or ended on each target.
  *
- * Load reports lag: without counting what was sent and what ended after a report, every choice until
- * the next one would go to the target that looked idle. Counted in short buckets, so that memory is
- * bounded.
+ * Load reports lag: without the attempts that started and ended since the last report, every request
+ * until the next one would go to the target that looked idle. Short buckets bound the memory.
  */
 
 const BUCKET_MS = 250;
-/** Older reports are not corrected but disregarded. */
-const KEPT_BUCKETS = 40;
+/**
+ * At least 10 s, as empty buckets are not stored. Older load reports are not corrected further: their
+ * weight decreases with age until they are disregarded.
+ */
+const MAX_BUCKETS = 40;
 
 interface Bucket {
   readonly startMs: number;
@@ -16,20 +18,20 @@
 }
 
 export interface RecentCounts {
-  readonly addOne: (target: string, nowMs: number) => void;
+  readonly addAttempt: (target: string, nowMs: number) => void;
   readonly countSince: (target: string, sinceMs: number) => number;
 }
 
 export function createRecentCounts(): RecentCounts {
   const bucketsByTarget = new Map<string, Bucket[]>();
   return {
-    addOne(target, nowMs) {
+    addAttempt(target, nowMs) {
       const buckets = bucketsByTarget.get(target) ?? [];
       const startMs = Math.floor(nowMs / BUCKET_MS) * BUCKET_MS;
       const last = buckets.at(-1);
       if (last?.startMs === startMs) last.count += 1;
       else buckets.push({ startMs, count: 1 });
-      if (buckets.length > KEPT_BUCKETS) buckets.shift();
+      if (buckets.length > MAX_BUCKETS) buckets.shift();
       bucketsByTarget.set(target, buckets);
     },
     countSince(target, sinceMs) {
--- a/packages/sequoiarill-plugin-generations/src/serverSentEvents.ts
+++ b/packages/sequoiarill-plugin-generations/src/serverSentEvents.ts
@@ -1,31 +1,35 @@
-/** Splits a stream of bytes into the data of its server-sent events. */
+/** Extracts the data of server-sent events from a byte stream. */
 
 const DATA_PREFIX = 'data: ';
 const EVENT_END = '\n\n';
-/** An engine that sends more than this in one event is broken; memory stays bounded. */
+/** Bounds the memory of a stream; an engine that sends a longer event is considered broken. */
 const MAX_EVENT_CHARACTERS = 4_194_304;
 
 export interface EventSplitter {
-  /** Data of the events that became whole; undefined when one is over-long. */
+  /** Returns the data of the events completed by `bytes`; undefined if an event is too long. */
   readonly addBytes: (bytes: Uint8Array) => readonly string[] | undefined;
 }
 
 export function createEventSplitter(): EventSplitter {
   const decoder = new TextDecoder();
-  let rest = '';
+  let buffered = '';
   return {
     addBytes(bytes) {
-      rest += decoder.decode(bytes, { stream: true });
-      const found: string[] = [];
+      buffered += decoder.decode(bytes, { stream: true });
+      const eventData: string[] = [];
       let start = 0;
-      for (let end = rest.indexOf(EVENT_END); end >= 0; end = rest.indexOf(EVENT_END, start)) {
-        if (rest.startsWith(DATA_PREFIX, start)) {
-          found.push(rest.slice(start + DATA_PREFIX.length, end));
+      for (
+        let end = buffered.indexOf(EVENT_END);
+        end >= 0;
+        end = buffered.indexOf(EVENT_END, start)
+      ) {
+        if (buffered.startsWith(DATA_PREFIX, start)) {
+          eventData.push(buffered.slice(start + DATA_PREFIX.length, end));
         }
         start = end + EVENT_END.length;
       }
-      rest = rest.slice(start);
-      return rest.length > MAX_EVENT_CHARACTERS ? undefined : found;
+      buffered = buffered.slice(start);
+      return buffered.length > MAX_EVENT_CHARACTERS ? undefined : eventData;
     },
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/servingTargets.ts
+++ b/packages/sequoiarill-plugin-generations/src/servingTargets.ts
@@ -1,8 +1,8 @@
 /**
- * The engines of each model that this router uses, worked out once for each configuration.
+ * Selects the engines of each model that this router uses, once for each configuration.
  *
- * 570 routers that each talked to 6,700 servers would hold millions of connections; a bounded set
- * for each router spreads evenly, and the rest are there for when the set has failed.
+ * 570 routers that each connect to 6,700 servers would hold millions of connections. Each router uses
+ * a bounded set instead, evenly distributed; the other engines are used only if the set has failed.
  */
 import * as Decisions from '@sequoiarill/decisions';
 import type { Configuration, EngineTarget, Model } from '@sequoiarill/types';
@@ -10,44 +10,44 @@
 import * as EngineRequests from './engineRequests';
 
 export interface ServingTargets {
-  /** The router's own set. */
-  readonly listSet: (model: Model) => readonly EngineTarget[];
-  /** Routers that share the engines of the own zone changed; the sets are worked out anew. */
+  /** The bounded set of engines selected for this router. */
+  readonly listSelected: (model: Model) => readonly EngineTarget[];
+  /** Sets the routers that share the engines of the local zone; a change recomputes the sets. */
   readonly setRouters: (names: readonly string[]) => void;
-  /** Every engine of the model, for a last resort. */
+  /** Every engine of the model, as a last resort. */
   readonly listAll: (model: Model) => readonly EngineTarget[];
 }
 
 export interface ServingTargetsOptions {
   readonly routerName: string;
   readonly zone: string;
-  /** Engines of one model in the own zone. */
+  /** Engines of one model in the local zone. */
   readonly setSize: number;
   readonly getConfiguration: () => Configuration;
 }
 
-/** Part of the set that lies in other zones: enough to try when the own zone fails. */
+/** Engines in other zones, relative to `setSize`: enough to try when the local zone fails. */
 const OTHER_ZONES_SHARE = 0.25;
 
 interface ModelTargets {
   readonly all: readonly EngineTarget[];
-  readonly set: readonly EngineTarget[];
+  readonly selected: readonly EngineTarget[];
 }
 
 export function createServingTargets(options: ServingTargetsOptions): ServingTargets {
   const { routerName, zone, setSize, getConfiguration } = options;
-  const ownZone = Decisions.createTargetSet({ routerName, size: setSize });
+  const localZone = Decisions.createTargetSet({ routerName, size: setSize });
   const otherSize = Math.max(1, Math.ceil(setSize * OTHER_ZONES_SHARE));
   const otherZones = Decisions.createTargetSet({ routerName, size: otherSize });
-  let known: Configuration | undefined;
+  let cachedConfiguration: Configuration | undefined;
   let routers: readonly string[] = [];
   const byModel = new Map<string, ModelTargets>();
 
-  function selectSet(all: readonly EngineTarget[]): readonly EngineTarget[] {
-    const own = all.filter((target) => target.zone === zone).map((target) => target.name);
+  function selectTargets(all: readonly EngineTarget[]): readonly EngineTarget[] {
+    const local = all.filter((target) => target.zone === zone).map((target) => target.name);
     const others = all.filter((target) => target.zone !== zone).map((target) => target.name);
     const names = new Set([
-      ...ownZone.selectTargets(own, routers),
+      ...localZone.selectTargets(local, routers),
       ...otherZones.selectTargets(others),
     ]);
     return all.filter((target) => names.has(target.name));
@@ -55,8 +55,8 @@
 
   function getTargets(model: Model): ModelTargets {
     const configuration = getConfiguration();
-    if (configuration !== known) byModel.clear();
-    known = configuration;
+    if (configuration !== cachedConfiguration) byModel.clear();
+    cachedConfiguration = configuration;
     const key = `${model.name}@${model.version}`;
     const cached = byModel.get(key);
     if (cached !== undefined) return cached;
@@ -64,7 +64,7 @@
       (target): target is EngineTarget =>
         target.kind === 'engine' && EngineRequests.findServedName(target, model) !== undefined,
     );
-    const targets = { all, set: selectSet(all) };
+    const targets = { all, selected: selectTargets(all) };
     byModel.set(key, targets);
     return targets;
   }
@@ -75,7 +75,7 @@
       routers = names;
       byModel.clear();
     },
-    listSet: (model) => getTargets(model).set,
+    listSelected: (model) => getTargets(model).selected,
     listAll: (model) => getTargets(model).all,
   };
 }
--- a/packages/sequoiarill-plugin-generations/src/targetViews.ts
+++ b/packages/sequoiarill-plugin-generations/src/targetViews.ts
@@ -1,4 +1,4 @@
-/** Joins what this router saw of its engines with what its peers say, as the decisions want it. */
+/** Combines this router's observations of engines with its peers' reports into target views. */
 import * as Decisions from '@sequoiarill/decisions';
 import type {
   OutlierDetector,
@@ -10,8 +10,8 @@
 
 import * as RecentCounts from './recentCounts';
 
-/** Engines are compared with their peers of the same model only. */
-export interface ModelKnowledge {
+/** Kept for each model, because engines are compared only with others of the same model. */
+export interface ModelStatistics {
   readonly stalls: StallPolicy;
   readonly outliers: OutlierDetector;
 }
@@ -23,44 +23,44 @@
 }
 
 export interface TargetViews {
-  readonly getKnowledge: (model: string) => ModelKnowledge;
+  readonly getStatistics: (model: string) => ModelStatistics;
   readonly createView: (target: EngineTarget, model: string, nowMs: number) => TargetView;
   readonly recordSent: (target: string, nowMs: number) => void;
   readonly recordEnd: (target: string, nowMs: number) => void;
   readonly recordFailure: (target: string, nowMs: number) => void;
-  /** The target answers again: it and the peers' word of it are as new. */
+  /** Clears the failure of a target that responds again and reports it as healthy to the peers. */
   readonly recordSuccess: (target: string) => void;
   readonly listEjected: (nowMs: number) => Readonly<Record<string, readonly string[]>>;
   readonly listFailed: (nowMs: number) => readonly string[];
 }
 
 /**
- * An engine that failed is passed over for so long and then tried again by whatever comes: a dead
- * VM's replacement takes seconds at the least, and one stray request finds it.
+ * A failed engine is not used for this time, after which the next request may try it again. Replacing
+ * a failed VM takes at least seconds, and a single request suffices to find that it is back.
  */
-const PASS_OVER_MS = 2_000;
+const FAILURE_COOLDOWN_MS = 2_000;
 
 export function createTargetViews(options: TargetViewsOptions): TargetViews {
   const { membership } = options;
-  const knowledgeByModel = new Map<string, ModelKnowledge>();
+  const statisticsByModel = new Map<string, ModelStatistics>();
   const failedAtMs = new Map<string, number>();
   const sent = RecentCounts.createRecentCounts();
   const ended = RecentCounts.createRecentCounts();
 
-  function getKnowledge(model: string): ModelKnowledge {
-    const known = knowledgeByModel.get(model);
-    if (known !== undefined) return known;
-    const knowledge = {
+  function getStatistics(model: string): ModelStatistics {
+    const existing = statisticsByModel.get(model);
+    if (existing !== undefined) return existing;
+    const statistics = {
       stalls: Decisions.createStallPolicy(),
       outliers: Decisions.createOutlierDetector(),
     };
-    knowledgeByModel.set(model, knowledge);
-    return knowledge;
+    statisticsByModel.set(model, statistics);
+    return statistics;
   }
 
-  function isPassedOver(target: string, nowMs: number): boolean {
-    const failed = failedAtMs.get(target);
-    return failed !== undefined && nowMs - failed < PASS_OVER_MS;
+  function isCoolingDown(target: string, nowMs: number): boolean {
+    const lastFailedAtMs = failedAtMs.get(target);
+    return lastFailedAtMs !== undefined && nowMs - lastFailedAtMs < FAILURE_COOLDOWN_MS;
   }
 
   function getState(
@@ -69,18 +69,19 @@
     nowMs: number,
   ): TargetChoiceState {
     if (target.vmState === 'leaving') return 'leaving';
-    if (isPassedOver(target.name, nowMs)) return 'dead';
-    const own = outliers.getState(target.name, nowMs);
-    if (own !== 'healthy') return own;
+    if (isCoolingDown(target.name, nowMs)) return 'dead';
+    const ownState = outliers.getState(target.name, nowMs);
+    if (ownState !== 'healthy') return ownState;
     const health = membership.getTargetHealth(target.name);
-    // Our own word that it is dead has had its time: whoever said so first also tries it first, or
-    // an engine that is back would stay unused until every router's word of it has aged.
-    const isOwnWord = health?.state === 'dead' && health.observer === options.routerName;
-    return health === undefined || isOwnWord ? 'healthy' : health.state;
+    // This router's own `dead` report no longer counts after the cooldown: the router that reported
+    // first also retries first. Otherwise a recovered engine would stay unused until the reports of
+    // all routers had expired.
+    const isOwnReport = health?.state === 'dead' && health.observer === options.routerName;
+    return health === undefined || isOwnReport ? 'healthy' : health.state;
   }
 
   function createView(target: EngineTarget, model: string, nowMs: number): TargetView {
-    const { outliers } = getKnowledge(model);
+    const { outliers } = getStatistics(model);
     const health = membership.getTargetHealth(target.name);
     const view = {
       name: target.name,
@@ -103,10 +104,10 @@
   }
 
   return {
-    getKnowledge,
+    getStatistics,
     createView,
-    recordSent: sent.addOne,
-    recordEnd: ended.addOne,
+    recordSent: sent.addAttempt,
+    recordEnd: ended.addAttempt,
     recordFailure(target, nowMs) {
       failedAtMs.set(target, nowMs);
       membership.reportTarget({ target, state: 'dead' });
@@ -117,8 +118,8 @@
     },
     listEjected: (nowMs) =>
       Object.fromEntries(
-        [...knowledgeByModel].map(([model, { outliers }]) => [model, outliers.listEjected(nowMs)]),
+        [...statisticsByModel].map(([model, { outliers }]) => [model, outliers.listEjected(nowMs)]),
       ),
-    listFailed: (nowMs) => [...failedAtMs.keys()].filter((name) => isPassedOver(name, nowMs)),
+    listFailed: (nowMs) => [...failedAtMs.keys()].filter((name) => isCoolingDown(name, nowMs)),
   };
 }
