--- a/packages/sequoiarill-plugin-generations/src/admissionController.ts
+++ b/packages/sequoiarill-plugin-generations/src/admissionController.ts
@@ -8,7 +8,7 @@
 import type {
   Admission,
   AdmissionRequest,
-  AdmissionUse,
+  PermitUsage,
   Admitted,
   Permit,
   Refused,
@@ -27,7 +27,7 @@
     signal: AbortSignal,
   ) => Promise<AdmissionOutcome>;
   readonly recordFirstToken: (permit: Permit, ms: number) => void;
-  readonly releasePermit: (permit: Permit, use: AdmissionUse) => void;
+  readonly releasePermit: (permit: Permit, use: PermitUsage) => void;
   /** Sets the current capacity of a model's engines; see `ConcurrencyLimit.setCapacity`. */
   readonly setCapacity: (model: string, slots: number, busyShare: number) => void;
   readonly close: () => void;
@@ -44,10 +44,10 @@
 }
 
 /**
- * `DEFAULT_TARGET_MS` covers only the wait for a slot, measured in a simulation without a network. A
+ * `DEFAULT_WAIT_TARGET_MS` covers only the wait for a slot, measured in a simulation without a network. A
  * real first token also takes a round trip and one decoding step of a full engine, hence the 60 ms.
  */
-const FIRST_TOKEN_TARGET_MS = Decisions.DEFAULT_TARGET_MS + 60;
+const FIRST_TOKEN_TARGET_MS = Decisions.DEFAULT_WAIT_TARGET_MS + 60;
 const MIN_CONCURRENT_GENERATIONS = 8;
 /** Bounds the memory of a router process; docs/CAPACITY.md has the memory of one stream. */
 const MAX_CONCURRENT_GENERATIONS = 8_192;
@@ -69,7 +69,7 @@
         ),
         min: MIN_CONCURRENT_GENERATIONS,
         max: MAX_CONCURRENT_GENERATIONS,
-        targetMs: FIRST_TOKEN_TARGET_MS,
+        waitTargetMs: FIRST_TOKEN_TARGET_MS,
       }),
   });
 
