--- a/packages/sequoiarill-plugin-operators/src/__tests__/operators.test.ts
+++ b/packages/sequoiarill-plugin-operators/src/__tests__/operators.test.ts
@@ -12,7 +12,7 @@
 
 const TOKEN = 'a-token-of-operators';
 
-/** Stands beside `operators` with a dump that shows a secret and a journal entry. */
+/** A second plug-in whose state dump and journal entry contain a secret. */
 const neighbour: Plugin = {
   name: 'neighbour',
   settingsSchema: Zod.unknown(),
@@ -28,13 +28,13 @@
   },
 };
 
-interface Started {
+interface StartedKernel {
   readonly kernel: Kernel.Kernel;
   readonly address: string;
   readonly call: (path: string, init?: RequestInit) => Promise<readonly [number, unknown]>;
 }
 
-async function startKernel(token?: string, onStopRequested?: () => void): Promise<Started> {
+async function startKernel(token?: string, onStopRequested?: () => void): Promise<StartedKernel> {
   const kernel = Kernel.createKernel({
     settings: {
       process: { name: 'router-1', zone: 'z1', region: 'r1' },
@@ -58,7 +58,7 @@
 }
 
 describe('operators', () => {
-  it('shows the whole state, one plug-in, and the decisions of a request without secrets', async () => {
+  it('shows the full state, one plug-in and the decisions on a request, without secrets', async () => {
     const { kernel, call } = await startKernel();
     const [, state] = await call('/state');
     expect((state as ProcessDump).process.name).toEqual('router-1');
@@ -72,7 +72,7 @@
     await kernel.stop();
   });
 
-  it('answers errors as JSON with a code and what to do', async () => {
+  it('answers errors as JSON with a message', async () => {
     const { kernel, call } = await startKernel();
     const codes: unknown[] = [];
     for (const path of ['/state/nobody', '/explain/r-2', '/nowhere', '/explain/%E0%A4%A']) {
@@ -88,10 +88,10 @@
     await kernel.stop();
   });
 
-  it('tells a balancer to send no work to a process that drains', async () => {
-    // An operator drains a VM. Work in progress goes on for minutes; the balancer would keep
-    // sending new requests to it if readiness did not change at once, while it must not be
-    // restarted as dead either.
+  it('reports a draining process as live but not ready', async () => {
+    // An operator drains a VM, and requests in progress take minutes. Readiness must change at
+    // once, so that the load balancer sends no new requests, but the process must not be restarted
+    // as dead.
     const { kernel, call } = await startKernel();
     expect((await call('/ready'))[0]).toEqual(200);
     await kernel.drain(1);
@@ -100,18 +100,18 @@
     await kernel.stop();
   });
 
-  it('asks the process to stop, once the answer is under way', async () => {
-    const requested: Promise<string> = new Promise((resolve) => {
+  it('requests the process to stop after the answer is sent', async () => {
+    const stopRequested: Promise<string> = new Promise((resolve) => {
       startKernel(undefined, () => resolve('stop requested')).then(async ({ kernel, call }) => {
         const [status] = await call('/drain', { method: 'POST' });
         expect(status).toEqual(202);
         await kernel.stop();
       });
     });
-    expect(await requested).toEqual('stop requested');
+    expect(await stopRequested).toEqual('stop requested');
   });
 
-  it('wants the token for all but liveness and readiness', async () => {
+  it('requires the token except for liveness and readiness', async () => {
     const { kernel, call } = await startKernel(TOKEN);
     const headers = { authorization: `Bearer ${TOKEN}` };
     const statuses = [
@@ -126,14 +126,14 @@
     await kernel.stop();
   });
 
-  it('ends its start with the reason when the address is in use', async () => {
-    // A VM's service manager starts two routers with one settings file. The second would wait for
-    // ever and never be ready, since nobody is told that the bind failed.
-    const other = createServer();
+  it('fails to start with the reason when the address is in use', async () => {
+    // A service manager starts two routers with the same settings file. If the failed bind were not
+    // reported, the second one would wait for ever and never become ready.
+    const occupant = createServer();
     await new Promise<void>((resolve) => {
-      other.listen(0, '127.0.0.1', resolve);
+      occupant.listen(0, '127.0.0.1', resolve);
     });
-    const { port } = other.address() as AddressInfo;
+    const { port } = occupant.address() as AddressInfo;
     const kernel = Kernel.createKernel({
       settings: {
         process: { name: 'router-2', zone: 'z1', region: 'r1' },
@@ -144,12 +144,12 @@
     });
     await expect(kernel.start()).toBeRejectedWith(/cannot listen on .* section \[operators\]/);
     await kernel.stop();
-    other.close();
+    occupant.close();
   });
 });
 
 describe('redaction', () => {
-  it('goes by the last word of a name and keeps counts', () => {
+  it('depends on the words of a name and keeps counts', () => {
     const dump = {
       token: 'a',
       keys: [{ id: 'k1', salt: 'b' }],
@@ -158,7 +158,7 @@
       tokensPerSecond: 5,
       zone: 'z1',
     };
-    expect(Redaction.selectPublic(dump)).toEqual({
+    expect(Redaction.removeSecrets(dump)).toEqual({
       token: Redaction.REDACTED,
       keys: [{ id: Redaction.REDACTED, salt: Redaction.REDACTED }],
       keyValueState: 'away',
--- a/packages/sequoiarill-plugin-operators/src/answers.ts
+++ b/packages/sequoiarill-plugin-operators/src/errorResponses.ts
@@ -1,4 +1,4 @@
-/** Answers of the operators' listener that are not a plain 200. */
+/** Error responses of the operators' listener. */
 import type { ServerResponse } from 'node:http';
 
 export interface ErrorBody {
@@ -9,7 +9,7 @@
   return { error: { code, message } };
 }
 
-/** Sends an error unless an answer has already begun. */
+/** Sends an error response, or only ends the response if its headers have been sent. */
 export function sendError(
   response: ServerResponse,
   status: number,
--- a/packages/sequoiarill-plugin-operators/src/listener.ts
+++ b/packages/sequoiarill-plugin-operators/src/listener.ts
@@ -1,25 +1,25 @@
-/** The operators' own HTTP listener, apart from the callers' one. */
+/** HTTP listener for operators, separate from the one for callers. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-import * as Answers from './answers';
+import * as ErrorResponses from './errorResponses';
 
-/** A dump is asked for in one short request; slow or huge ones hold memory for nothing. */
+/** Operators' requests are short; limits on time and headers keep others from using up memory. */
 const REQUEST_TIMEOUT_MS = 10_000;
-const MAX_HEADERS = 64;
-/** Time for answers in progress once the listener closes; then connections are cut. */
-const CLOSE_LIMIT_MS = 1_000;
+const MAX_HEADER_COUNT = 64;
+/** Time for responses in progress to end when the listener closes; then connections are closed. */
+const CLOSE_TIMEOUT_MS = 1_000;
 
 export type HandleRequest = (request: IncomingMessage, response: ServerResponse) => void;
 
 export interface Listener {
-  /** Rejects with a clear error when the address can't be bound. */
+  /** Rejects with a `ListenError` if the address cannot be bound. */
   readonly open: () => Promise<void>;
   readonly close: () => Promise<void>;
-  /** `host:port` in use; undefined until opened. */
+  /** Bound address as `host:port`; undefined until opened. */
   readonly getAddress: () => string | undefined;
-  /** Until set, every request is answered with 503. */
+  /** Sets the request handler; until then, every request is answered with 503. */
   readonly setHandler: (handler: HandleRequest) => void;
 }
 
@@ -27,24 +27,24 @@
   override readonly name = 'ListenError';
 }
 
-/** Opened before the service exists, so that an address in use stops the start with its reason. */
+/** Creates a listener that the plug-in opens, so that an address in use fails the start. */
 export function createListener(listen: string): Listener {
   const separator = listen.lastIndexOf(':');
   const host = listen.slice(0, separator).replace(/^\[(.*)\]$/, '$1');
   const port = Number(listen.slice(separator + 1));
   let handleRequest: HandleRequest = (request, response) =>
-    Answers.sendError(response, 503, 'starting', 'the process is starting; ask again');
+    ErrorResponses.sendError(response, 503, 'starting', 'the process is starting; ask again');
   const server = createServer((request, response) => handleRequest(request, response));
   server.requestTimeout = REQUEST_TIMEOUT_MS;
   server.headersTimeout = REQUEST_TIMEOUT_MS;
-  server.maxHeadersCount = MAX_HEADERS;
+  server.maxHeadersCount = MAX_HEADER_COUNT;
 
   return {
     open: () =>
       new Promise((resolve, reject) => {
         server.once('error', (error) => {
-          const fix = 'choose a free address of this VM in section [operators], key listen';
-          reject(new ListenError(`cannot listen on ${listen}: ${error.message}; ${fix}`));
+          const remedy = 'choose a free address of this VM in section [operators], key listen';
+          reject(new ListenError(`cannot listen on ${listen}: ${error.message}; ${remedy}`));
         });
         server.listen(port, host, () => resolve());
       }),
@@ -54,9 +54,9 @@
         server.close(() => resolve());
       });
       server.closeIdleConnections();
-      const limit = setTimeout(() => server.closeAllConnections(), CLOSE_LIMIT_MS);
+      const closeTimer = setTimeout(() => server.closeAllConnections(), CLOSE_TIMEOUT_MS);
       await closed;
-      clearTimeout(limit);
+      clearTimeout(closeTimer);
     },
     getAddress() {
       const address = server.address() as AddressInfo | null;
--- a/packages/sequoiarill-plugin-operators/src/plugin.ts
+++ b/packages/sequoiarill-plugin-operators/src/plugin.ts
@@ -1,9 +1,9 @@
-/** Plug-in `operators`: state dump, explanations, readiness and draining on a listener of its own. */
+/** Plug-in `operators`: state dump, explanations, readiness and draining on a separate listener. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { Plugin, PluginContext, PluginInstance } from '@sequoiarill/types';
 
-import * as Answers from './answers';
+import * as ErrorResponses from './errorResponses';
 import * as Authorisation from './authorisation';
 import * as Events from './events';
 import * as Listeners from './listener';
@@ -34,7 +34,7 @@
     context.metrics.addCount(Metrics.CALLS_REFUSED);
     context.logEvent(Events.CALL_REFUSED, { from: request.socket.remoteAddress });
     const message = 'send the token of section [operators] as "Authorization: Bearer TOKEN"';
-    Answers.sendError(response, HTTP_UNAUTHORISED, 'unauthorised', message);
+    ErrorResponses.sendError(response, HTTP_UNAUTHORISED, 'unauthorised', message);
     return false;
   }
 
--- a/packages/sequoiarill-plugin-operators/src/redaction.ts
+++ b/packages/sequoiarill-plugin-operators/src/redaction.ts
@@ -1,31 +1,31 @@
-/** Last guard against secrets in what operators are shown. */
+/** Removes secrets from data shown to operators, as a last safeguard. */
 
 export const REDACTED = '[redacted]';
 
-/** A name whose last part is one of these, such as `apiKey`, `token` or `key_hashes`. */
-const SECRET_WORD = /(token|key|secret|password|passphrase|credential|hash|salt)(s|es)?$/i;
-/** Names of the platform's service, which hold the word "key" and no secret. */
-const HARMLESS_NAME = /key[-_ ]?values?/gi;
-const WORD_BORDER = /(?<=[a-z0-9])(?=[A-Z])|[-_. ]/;
+/** Matches a word of a name that indicates a secret, as in `apiKey`, `token` or `key_hashes`. */
+const SECRET_WORD_PATTERN = /(token|key|secret|password|passphrase|credential|hash|salt)(s|es)?$/i;
+/** Names of the platform's key-value service contain the word "key" but hold no secret. */
+const PUBLIC_NAME = /key[-_ ]?values?/gi;
+const WORD_BOUNDARY = /(?<=[a-z0-9])(?=[A-Z])|[-_. ]/;
 
-/** Tells whether a field of this name could hold a secret. */
+/** Whether a field of this name could hold a secret. */
 export function isSecretName(name: string): boolean {
-  const words = name.replace(HARMLESS_NAME, '').split(WORD_BORDER);
-  return words.some((word) => SECRET_WORD.test(word));
+  const words = name.replace(PUBLIC_NAME, '').split(WORD_BOUNDARY);
+  return words.some((word) => SECRET_WORD_PATTERN.test(word));
 }
 
 /**
- * Replaces every text below a field with a secret's name. Plug-ins must not dump secrets in the
- * first place; this holds when one does by mistake, since it goes by the name alone. Numbers and
- * booleans stay: counts such as `tokens: 12` are what operators look for.
+ * Replaces every string in or below a field whose name indicates a secret. Plug-ins must not dump
+ * secrets; this protects against mistakes and depends on names only. Numbers and booleans are kept,
+ * since operators need counts such as `tokens: 12`.
  */
-export function selectPublic(value: unknown, isSecret = false): unknown {
+export function removeSecrets(value: unknown, isSecret = false): unknown {
   if (typeof value === 'string') return isSecret ? REDACTED : value;
-  if (Array.isArray(value)) return value.map((item) => selectPublic(item, isSecret));
+  if (Array.isArray(value)) return value.map((item) => removeSecrets(item, isSecret));
   if (typeof value !== 'object' || value === null) return value;
   const fields = Object.entries(value).map(([name, field]) => [
     name,
-    selectPublic(field, isSecret || isSecretName(name)),
+    removeSecrets(field, isSecret || isSecretName(name)),
   ]);
   return Object.fromEntries(fields);
 }
--- a/packages/sequoiarill-plugin-operators/src/service.ts
+++ b/packages/sequoiarill-plugin-operators/src/service.ts
@@ -1,11 +1,11 @@
-/** The operators' calls as one local moleculer service behind moleculer-web. */
+/** Operators' API as a local moleculer service, routed by moleculer-web. */
 import type { ServerResponse } from 'node:http';
 
 import type { PluginContext } from '@sequoiarill/types';
 import type { Context, Service, ServiceSchema } from 'moleculer';
 import * as ApiGateway from 'moleculer-web';
 
-import * as Answers from './answers';
+import * as ErrorResponses from './errorResponses';
 import * as Events from './events';
 import type { HandleRequest, Listener } from './listener';
 import * as Redaction from './redaction';
@@ -19,7 +19,7 @@
 export interface ServiceOptions {
   readonly context: PluginContext;
   readonly listener: Listener;
-  /** Runs before moleculer-web sees a request; false when it has answered itself. */
+  /** Called before moleculer-web; returns false if it has answered the request itself. */
   readonly admitRequest: (...request: Parameters<HandleRequest>) => boolean;
 }
 
@@ -35,7 +35,7 @@
     name: 'operators',
     mixins: [ApiGateway.default],
     settings: {
-      // The plug-in owns the socket: moleculer-web would log a bind error and wait for ever.
+      // The plug-in opens the socket: moleculer-web would log a bind error and wait for ever.
       server: false,
       routes: [
         {
@@ -58,16 +58,16 @@
     },
     actions: createActions(context),
     created(this: Service) {
-      const handleByGateway = this.express() as (
+      const handleWithGateway = this.express() as (
         request: unknown,
         response: unknown,
         next: () => void,
       ) => void;
       listener.setHandler((request, response) => {
         if (!admitRequest(request, response)) return;
-        handleByGateway(request, response, () => {
+        handleWithGateway(request, response, () => {
           const message = `no such path: ${request.method} ${request.url}`;
-          Answers.sendError(response, HTTP_NOT_FOUND, 'notFound', message);
+          ErrorResponses.sendError(response, HTTP_NOT_FOUND, 'notFound', message);
         });
       });
     },
@@ -76,14 +76,14 @@
 
 function createActions(context: PluginContext): NonNullable<ServiceSchema['actions']> {
   return {
-    dumpState: async () => Redaction.selectPublic(await context.dumpProcess()),
+    dumpState: async () => Redaction.removeSecrets(await context.dumpProcess()),
 
     async dumpPlugin(call: ActionContext<{ readonly plugin: string }>) {
       const dump = await context.dumpProcess();
       const { plugin } = call.params;
-      if (Object.hasOwn(dump.plugins, plugin)) return Redaction.selectPublic(dump.plugins[plugin]);
-      const known = Object.keys(dump.plugins).join(', ');
-      const message = `no plug-in "${plugin}" runs in this process; there are ${known}`;
+      if (Object.hasOwn(dump.plugins, plugin)) return Redaction.removeSecrets(dump.plugins[plugin]);
+      const pluginNames = Object.keys(dump.plugins).join(', ');
+      const message = `no plug-in "${plugin}" runs in this process; there are ${pluginNames}`;
       return refuseCall(call, HTTP_NOT_FOUND, 'unknownPlugin', message);
     },
 
@@ -96,7 +96,7 @@
           'it, or it is older than the journal';
         return refuseCall(call, HTTP_NOT_FOUND, 'unknownRequest', message);
       }
-      return Redaction.selectPublic({ requestId, process: context.process.name, entries });
+      return Redaction.removeSecrets({ requestId, process: context.process.name, entries });
     },
 
     getLiveness: () => ({ live: true }),
@@ -110,7 +110,7 @@
     drainProcess(call: ActionContext) {
       context.logEvent(Events.DRAIN_REQUESTED);
       setStatus(call, HTTP_ACCEPTED);
-      // After the answer: a process with nothing to drain would close this connection first.
+      // Deferred until after the answer: a process with no work would close this connection first.
       setImmediate(() => context.requestStop());
       return { draining: true };
     },
@@ -122,12 +122,12 @@
   status: number,
   code: string,
   message: string,
-): Answers.ErrorBody {
+): ErrorResponses.ErrorBody {
   setStatus(call, status);
-  return Answers.createErrorBody(code, message);
+  return ErrorResponses.createErrorBody(code, message);
 }
 
-/** Moleculer-web takes the status from the call's metadata. */
+/** Sets the HTTP status, which moleculer-web reads from the call's metadata. */
 function setStatus(call: ActionContext, status: number): void {
   Object.assign(call.meta, { $statusCode: status });
 }
@@ -135,5 +135,5 @@
 function sendGatewayError(response: ServerResponse, error: GatewayError): void {
   const status = typeof error.code === 'number' && error.code >= 400 ? error.code : 500;
   const code = typeof error.type === 'string' ? error.type : 'internal';
-  Answers.sendError(response, status, code, error.message ?? 'internal error');
+  ErrorResponses.sendError(response, status, code, error.message ?? 'internal error');
 }
--- a/packages/sequoiarill-plugin-operators/src/settings.ts
+++ b/packages/sequoiarill-plugin-operators/src/settings.ts
@@ -3,9 +3,9 @@
 import * as Zod from 'zod';
 
 export const settingsSchema = Zod.strictObject({
-  /** Address of the operators' listener; port 0 takes a free one. */
+  /** Address of the operators' listener; with port 0 the system selects a port. */
   listen: Kernel.addressSchema.default('127.0.0.1:8090'),
-  /** Callers of everything but `/live` and `/ready` must send it as `Authorization: Bearer`. */
+  /** Required as `Authorization: Bearer` for all paths except `/live` and `/ready`. */
   token: Zod.string().min(16, 'use at least 16 characters, or leave it out').optional(),
 });
 
