--- a/packages/sequoiarill-plugin-callers/src/__tests__/badInput.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/badInput.test.ts
@@ -11,63 +11,63 @@
 
 const CHAT = '/v1/chat/completions';
 const RESPONSES = '/v1/responses';
-const user = { role: 'user', content: 'x' };
-const chat = { model: 'advisor', messages: [user] };
-const response = { model: 'advisor', input: 'x' };
-const image = { type: 'image_url', image_url: { url: 'x' } };
+const userMessage = { role: 'user', content: 'x' };
+const chatBody = { model: 'advisor', messages: [userMessage] };
+const responseBody = { model: 'advisor', input: 'x' };
+const imagePart = { type: 'image_url', image_url: { url: 'x' } };
 
-/** Path, body, and what the error must say: status, code, parameter. */
-const CASES: readonly (readonly [string, unknown, readonly unknown[]])[] = [
+/** Path, body and the expected error: status, code, parameter. */
+const INVALID_REQUESTS: readonly (readonly [string, unknown, readonly unknown[]])[] = [
   [CHAT, '{"model":', [400, 'invalid_json', null]],
   [CHAT, '[]', [400, 'invalid_value', null]],
   [CHAT, '', [400, 'invalid_json', null]],
-  [CHAT, { messages: [user] }, [400, 'invalid_value', 'model']],
-  [CHAT, { ...chat, model: 'none' }, [404, 'model_not_found', 'model']],
-  [CHAT, { ...chat, model: 'hidden' }, [404, 'model_not_found', 'model']],
-  [CHAT, { ...chat, messages: [] }, [400, 'invalid_value', 'messages']],
+  [CHAT, { messages: [userMessage] }, [400, 'invalid_value', 'model']],
+  [CHAT, { ...chatBody, model: 'none' }, [404, 'model_not_found', 'model']],
+  [CHAT, { ...chatBody, model: 'hidden' }, [404, 'model_not_found', 'model']],
+  [CHAT, { ...chatBody, messages: [] }, [400, 'invalid_value', 'messages']],
   [
     CHAT,
-    { ...chat, messages: [{ role: 'tool', content: 'x' }] },
+    { ...chatBody, messages: [{ role: 'tool', content: 'x' }] },
     [400, 'invalid_value', 'messages[0].role'],
   ],
   [
     CHAT,
-    { ...chat, messages: [user, { role: 'user', content: [image] }] },
+    { ...chatBody, messages: [userMessage, { role: 'user', content: [imagePart] }] },
     [400, 'invalid_value', 'messages[1].content'],
   ],
-  [CHAT, { ...chat, temperature: 3 }, [400, 'invalid_value', 'temperature']],
-  [CHAT, { ...chat, max_tokens: 0 }, [400, 'invalid_value', 'max_tokens']],
-  [CHAT, { ...chat, stop: ['a', 'b', 'c', 'd', 'e'] }, [400, 'invalid_value', 'stop']],
-  [CHAT, { ...chat, stop: '' }, [400, 'invalid_value', 'stop']],
-  [CHAT, { ...chat, n: 2 }, [400, 'unsupported_parameter', 'n']],
-  [CHAT, { ...chat, logprobs: true }, [400, 'unsupported_parameter', 'logprobs']],
-  [CHAT, { ...chat, tools: [{ type: 'function' }] }, [400, 'unsupported_parameter', 'tools']],
+  [CHAT, { ...chatBody, temperature: 3 }, [400, 'invalid_value', 'temperature']],
+  [CHAT, { ...chatBody, max_tokens: 0 }, [400, 'invalid_value', 'max_tokens']],
+  [CHAT, { ...chatBody, stop: ['a', 'b', 'c', 'd', 'e'] }, [400, 'invalid_value', 'stop']],
+  [CHAT, { ...chatBody, stop: '' }, [400, 'invalid_value', 'stop']],
+  [CHAT, { ...chatBody, n: 2 }, [400, 'unsupported_parameter', 'n']],
+  [CHAT, { ...chatBody, logprobs: true }, [400, 'unsupported_parameter', 'logprobs']],
+  [CHAT, { ...chatBody, tools: [{ type: 'function' }] }, [400, 'unsupported_parameter', 'tools']],
   [
     CHAT,
-    { ...chat, response_format: { type: 'json_object' } },
+    { ...chatBody, response_format: { type: 'json_object' } },
     [400, 'unsupported_parameter', 'response_format.type'],
   ],
-  [CHAT, { ...chat, grammar: 'x' }, [400, 'unsupported_parameter', 'grammar']],
+  [CHAT, { ...chatBody, grammar: 'x' }, [400, 'unsupported_parameter', 'grammar']],
   [RESPONSES, { model: 'advisor' }, [400, 'invalid_value', 'input']],
-  [RESPONSES, { ...response, stop: 'x' }, [400, 'unsupported_parameter', 'stop']],
-  [RESPONSES, { ...response, background: true }, [400, 'unsupported_parameter', 'background']],
+  [RESPONSES, { ...responseBody, stop: 'x' }, [400, 'unsupported_parameter', 'stop']],
+  [RESPONSES, { ...responseBody, background: true }, [400, 'unsupported_parameter', 'background']],
   [
     RESPONSES,
-    { ...response, previous_response_id: 'resp_1' },
+    { ...responseBody, previous_response_id: 'resp_1' },
     [400, 'unsupported_parameter', 'previous_response_id'],
   ],
   [
     RESPONSES,
-    { ...response, input: [{ role: 'user', content: [{ type: 'input_image' }] }] },
+    { ...responseBody, input: [{ role: 'user', content: [{ type: 'input_image' }] }] },
     [400, 'invalid_value', 'input[0].content'],
   ],
-  [RESPONSES, { ...response, input: 'x'.repeat(5_000) }, [413, 'body_too_large', null]],
+  [RESPONSES, { ...responseBody, input: 'x'.repeat(5_000) }, [413, 'body_too_large', null]],
 ];
 
-describe('bad input', () => {
-  for (const [path, body, error] of CASES) {
-    const shown = JSON.stringify(body).slice(0, 80);
-    it(`is refused plainly: ${path} ${shown}`, async () => {
+describe('invalid input', () => {
+  for (const [path, body, error] of INVALID_REQUESTS) {
+    const shortBody = JSON.stringify(body).slice(0, 80);
+    it(`is refused with its code and parameter: ${path} ${shortBody}`, async () => {
       const { url } = await started;
       const answer = await Calls.callOnce(url + path, { method: 'POST', body });
       expect(Calls.getError(answer)).toEqual(error);
@@ -75,18 +75,18 @@
     });
   }
 
-  it('is refused in any part of a body sent without a length', async () => {
+  it('is refused when a chunked body exceeds the size limit', async () => {
     const { url } = await started;
     const headers = { 'transfer-encoding': 'chunked' };
-    const body = { ...chat, user: 'x'.repeat(5_000) };
+    const body = { ...chatBody, user: 'x'.repeat(5_000) };
     const answer = await Calls.callOnce(url + CHAT, { method: 'POST', headers, body });
     expect(Calls.getError(answer)).toEqual([413, 'body_too_large', null]);
   });
 
-  it('does not include parameters that change nothing', async () => {
+  it('does not include unsupported parameters whose value has no effect', async () => {
     const { url } = await started;
     const body = {
-      ...chat,
+      ...chatBody,
       n: 1,
       logprobs: false,
       tools: [],
@@ -100,7 +100,7 @@
   });
 });
 
-describe('a wrong key, path or method', () => {
+describe('an invalid key, path or method', () => {
   for (const key of ['', 'sqr_k1_wrong', 'sqr_none_x', 'sqr_k1', 'x', 'sqr_k2_shop-secret']) {
     it(`is refused: key "${key}"`, async () => {
       const { url } = await started;
@@ -111,8 +111,8 @@
   }
 
   it('is refused once the configuration no longer has the key', async (test) => {
-    // A shop's key leaks and is removed from its section. It must not work a moment longer because
-    // a router remembers that it was right.
+    // A leaked key is removed from the configuration. It must be refused at once, even by a router
+    // that accepted it before.
     const router = await Fakes.startRouter();
     test.after(router.stop);
     const before = await Calls.callOnce(`${router.url}/v1/models`);
@@ -121,7 +121,7 @@
     expect([before.status, afterwards.status]).toEqual([200, 401]);
   });
 
-  it('is refused with the methods that there are', async () => {
+  it('is refused with the list of allowed methods', async () => {
     const { url } = await started;
     const answer = await Calls.callOnce(url + CHAT, { method: 'DELETE' });
     expect(Calls.getError(answer)).toEqual([405, 'method_not_allowed', null]);
--- a/packages/sequoiarill-plugin-callers/src/__tests__/calls.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/calls.ts
@@ -1,4 +1,4 @@
-/** Plain HTTP calls of a caller. */
+/** HTTP calls to a router, as a caller makes them, and helpers to read their answers. */
 import * as Http from 'node:http';
 import { setImmediate } from 'node:timers/promises';
 
@@ -17,14 +17,14 @@
   readonly text: string;
 }
 
-/** An answer whose bytes the test takes as it likes. */
-export interface OpenAnswer {
+/** An answer whose body the test reads step by step. */
+export interface StreamingAnswer {
   readonly status: number;
   readonly headers: Http.IncomingHttpHeaders;
-  /** Reads until the text contains the given one; the whole answer without it. */
-  readonly readUntil: (wanted?: string) => Promise<string>;
-  /** Closes the connection as a caller does that goes away. */
-  readonly leave: () => void;
+  /** Reads until the text contains `expectedText`; to the end of the answer without it. */
+  readonly readUntil: (expectedText?: string) => Promise<string>;
+  /** Closes the connection, as a caller that disconnects. */
+  readonly disconnect: () => void;
 }
 
 function encodeBody(body: unknown): string | Buffer | undefined {
@@ -32,7 +32,7 @@
   return JSON.stringify(body);
 }
 
-export async function openCall(url: string, options: CallOptions = {}): Promise<OpenAnswer> {
+export async function openCall(url: string, options: CallOptions = {}): Promise<StreamingAnswer> {
   const { key = Fakes.SHOP_KEY, headers = {}, body } = options;
   const method = options.method ?? (body === undefined ? 'GET' : 'POST');
   const request = Http.request(url, {
@@ -51,16 +51,16 @@
     status: response.statusCode ?? 0,
     headers: response.headers,
     async readUntil(wanted) {
-      const isEnough = wanted === undefined ? () => false : () => text.includes(wanted);
+      const hasExpectedText = wanted === undefined ? () => false : () => text.includes(wanted);
       response.setEncoding('utf8');
-      while (!isEnough() && !response.readableEnded && !response.destroyed) {
+      while (!hasExpectedText() && !response.readableEnded && !response.destroyed) {
         const chunk = response.read() as string | null;
         if (chunk !== null) text += chunk;
         else await setImmediate();
       }
       return text;
     },
-    leave: () => request.destroy(),
+    disconnect: () => request.destroy(),
   };
 }
 
@@ -70,7 +70,7 @@
   return { status: answer.status, headers: answer.headers, text };
 }
 
-/** The error of an answer: status, code and parameter. */
+/** Returns status, code and parameter of an error response. */
 export function getError(answer: Answer): readonly unknown[] {
   const { error } = JSON.parse(answer.text) as { error: Readonly<Record<string, unknown>> };
   return [answer.status, error.code, error.param];
@@ -80,19 +80,22 @@
   while (!isMet()) await setImmediate();
 }
 
-/** Lets everything happen that waits for nothing but the event loop and local sockets. */
-export async function waitForQuiet(getCount: () => number): Promise<void> {
-  const TURNS = 300;
+/**
+ * Waits until the count no longer changes, so that all work that depends only on the event loop and
+ * on local sockets is done.
+ */
+export async function waitForIdle(getCount: () => number): Promise<void> {
+  const IDLE_TURNS = 300;
   let last = -1;
   let unchanged = 0;
-  while (unchanged < TURNS) {
+  while (unchanged < IDLE_TURNS) {
     await setImmediate();
     unchanged = getCount() === last ? unchanged + 1 : 0;
     last = getCount();
   }
 }
 
-/** The deltas of a Responses stream in one piece. */
+/** Returns the concatenated text deltas of a Responses stream. */
 export function getDeltas(stream: string): string {
   return listEvents(stream)
     .filter((event) => event.type === 'response.output_text.delta')
--- a/packages/sequoiarill-plugin-callers/src/__tests__/fakes.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/fakes.ts
@@ -1,4 +1,4 @@
-/** A router with everything but the callers' API faked, on a port of the system's choice. */
+/** A router with the real callers' API and fakes for all else, on a port selected by the system. */
 import * as Crypto from 'node:crypto';
 
 import * as Kernel from '@sequoiarill/kernel';
@@ -63,7 +63,7 @@
   };
 }
 
-export type Script = (
+export type GenerationScript = (
   request: GenerationRequest,
 ) => AsyncGenerator<TokenBatch, GenerationOutcome, void>;
 
@@ -77,71 +77,71 @@
   usage: { promptTokens: 7, completionTokens: 3 },
 };
 
-/** Yields the texts, then ends. */
-export function createScript(
+/** Creates a generation that yields the texts and ends with the outcome. */
+export function createGenerationScript(
   texts: readonly string[],
   outcome: GenerationOutcome = COMPLETED,
-): Script {
+): GenerationScript {
   return async function* runScript() {
     for (const text of texts) yield createBatch(text);
     return outcome;
   };
 }
 
-/** A generation whose tokens come when the test says so. */
-export interface StepScript {
-  readonly script: Script;
+/** A generation whose tokens and outcome are sent by the test. */
+export interface ControlledGeneration {
+  readonly script: GenerationScript;
   readonly sendText: (text: string) => void;
   readonly finish: (outcome: GenerationOutcome) => void;
-  /** Resolves when the generation was returned from early or saw its signal. */
+  /** Resolves when the generation stops early: by `return()` or its abort signal. */
   readonly stopped: Promise<void>;
   readonly getRequest: () => GenerationRequest | undefined;
 }
 
-export function createStepScript(): StepScript {
+export function createControlledGeneration(): ControlledGeneration {
   const queue: (TokenBatch | GenerationOutcome)[] = [];
-  let wake: () => void = () => undefined;
+  let resolveWait: () => void = () => undefined;
   let markStopped: () => void = () => undefined;
   const stopped = new Promise<void>((resolve) => {
     markStopped = resolve;
   });
-  let seen: GenerationRequest | undefined;
+  let receivedRequest: GenerationRequest | undefined;
   async function waitForItem(): Promise<void> {
     await new Promise<void>((resolve) => {
-      wake = resolve;
+      resolveWait = resolve;
     });
   }
   function addItem(item: TokenBatch | GenerationOutcome): void {
     queue.push(item);
-    wake();
+    resolveWait();
   }
-  async function* runSteps(
+  async function* runControlled(
     request: GenerationRequest,
   ): AsyncGenerator<TokenBatch, GenerationOutcome, void> {
-    seen = request;
-    let isWhole = false;
-    request.signal.addEventListener('abort', () => wake());
+    receivedRequest = request;
+    let hasFinished = false;
+    request.signal.addEventListener('abort', () => resolveWait());
     try {
       while (!request.signal.aborted) {
         const item = queue.shift();
         if (item === undefined) {
           await waitForItem();
         } else if ('kind' in item) {
-          isWhole = true;
+          hasFinished = true;
           return item;
         } else yield item;
       }
       return { kind: 'cancelled', usage: { promptTokens: 7, completionTokens: 1 } };
     } finally {
-      if (!isWhole) markStopped();
+      if (!hasFinished) markStopped();
     }
   }
   return {
-    script: runSteps,
+    script: runControlled,
     sendText: (text) => addItem(createBatch(text)),
     finish: addItem,
     stopped,
-    getRequest: () => seen,
+    getRequest: () => receivedRequest,
   };
 }
 
@@ -149,14 +149,14 @@
   readonly url: string;
   readonly kernel: Kernel.Kernel;
   readonly getMetric: (name: string) => number;
-  readonly setScript: (script: Script) => void;
+  readonly setScript: (script: GenerationScript) => void;
   readonly setOrders: (runOrder: (order: OrderRequest) => Promise<OrderOutcome>) => void;
   readonly setConfiguration: (configuration: Configuration) => void;
   readonly stop: () => Promise<void>;
 }
 
 export async function startRouter(settings: Partial<CallersSettings> = {}): Promise<Router> {
-  let script: Script = createScript(['Hello', ' wor', 'ld']);
+  let script: GenerationScript = createGenerationScript(['Hello', ' wor', 'ld']);
   let configuration = createConfiguration();
   let runOrder = async (): Promise<OrderOutcome> => ({ kind: 'unknown', message: 'unset' });
   const fakes: Plugin = {
@@ -179,12 +179,12 @@
       dumpState: () => ({}),
     }),
   };
-  const own = { ...settingsSchema.parse({ listen: '127.0.0.1:0' }), ...settings };
+  const callersSettings = { ...settingsSchema.parse({ listen: '127.0.0.1:0' }), ...settings };
   const kernel = Kernel.createKernel({
     settings: {
       process: { name: 'router-1', zone: 'z1', region: 'r1' },
       telemetry: { logLevel: 'silent' },
-      plugins: new Map([['callers', own]]),
+      plugins: new Map([['callers', callersSettings]]),
     },
     plugins: [fakes, plugin as Plugin],
   });
--- a/packages/sequoiarill-plugin-callers/src/__tests__/front.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/httpServer.test.ts
@@ -19,7 +19,7 @@
   while (routers.length > 0) await routers.pop()?.stop();
 });
 
-/** Sends bytes as they are and reads until the router closes the connection. */
+/** Sends raw bytes and reads until the router closes the connection. */
 async function sendRaw(url: string, text: string): Promise<string> {
   const { hostname, port } = new URL(url);
   const socket = Net.connect(Number(port), hostname);
@@ -34,9 +34,9 @@
   return answer;
 }
 
-describe('the HTTP front', () => {
-  it('says which address is in use, and how to mend it', async () => {
-    // Two routers of one VM are given the same port. The second one must not seem to run.
+describe('the HTTP server', () => {
+  it('reports which address is in use and how to fix it', async () => {
+    // Two routers on one VM are configured with the same port. The second one must fail to start.
     const router = await startRouter();
     const listen = router.url.replace('http://', '');
     const error = await Fakes.startRouter({ listen }).then(
@@ -48,7 +48,7 @@
     );
   });
 
-  it('answers what is not HTTP in the usual form', async () => {
+  it('answers invalid HTTP in the usual error format', async () => {
     const router = await startRouter();
     const answer = await sendRaw(router.url, 'HELLO\r\n\r\n');
     expect(answer.startsWith('HTTP/1.1 400 ')).toEqual(true);
@@ -56,16 +56,16 @@
     expect(/x-request-id: req_/.test(answer)).toEqual(true);
   });
 
-  it('answers headers that are too large in the usual form', async () => {
+  it('answers headers that are too large in the usual error format', async () => {
     const router = await startRouter();
     const answer = await sendRaw(router.url, `GET / HTTP/1.1\r\nx: ${'y'.repeat(20_000)}\r\n\r\n`);
     expect(answer.startsWith('HTTP/1.1 431 ')).toEqual(true);
     expect(answer.includes('"code":"headers_too_large"')).toEqual(true);
   });
 
-  it('answers a request that does not arrive, and frees its place', async () => {
-    // A caller's connection dies in the middle of its headers or body. Waited for without a limit,
-    // such connections would use up the places of others.
+  it('answers an incomplete request after a timeout and frees its connection', async () => {
+    // A caller's connection fails in the middle of the headers or body. Without a timeout, such
+    // connections would use up the connection limit.
     const router = await startRouter({ headersTimeoutMs: 1, requestTimeoutMs: 1 });
     const key = `authorization: Bearer ${Fakes.SHOP_KEY}\r\n`;
     const head = `POST /v1/responses HTTP/1.1\r\nhost: x\r\n${key}`;
@@ -77,7 +77,7 @@
     expect(codes).toEqual([true, true]);
   });
 
-  it('refuses a time-out for headers above that for the whole request', () => {
+  it('refuses a headers timeout above the request timeout', () => {
     const result = settingsSchema.safeParse({ headersTimeoutMs: '2', requestTimeoutMs: '1' });
     const [issue] = result.error?.issues ?? [];
     expect([issue?.path, issue?.message]).toEqual([
@@ -86,9 +86,9 @@
     ]);
   });
 
-  it('shows connections, streams and responses in its state, and no secret', async () => {
+  it('shows connections, streams and responses in its state, but no secrets', async () => {
     const router = await startRouter();
-    const steps = Fakes.createStepScript();
+    const steps = Fakes.createControlledGeneration();
     router.setScript(steps.script);
     steps.sendText('Secret answer');
     const stream = await Calls.openCall(`${router.url}/v1/responses`, {
@@ -100,14 +100,14 @@
     expect([dump?.openConnections, responses.running, responses.unread]).toEqual([1, 1, 0]);
     expect(dump?.requests).toEqual({ waiting: 0, sending: 1, blocked: 0 });
     expect((responses.bytes ?? 0) > 0).toEqual(true);
-    const shown = JSON.stringify(dump);
-    expect(/Secret|Which size|shop-secret/.test(shown)).toEqual(false);
-    stream.leave();
+    const dumpText = JSON.stringify(dump);
+    expect(/Secret|Which size|shop-secret/.test(dumpText)).toEqual(false);
+    stream.disconnect();
   });
 
-  it('does not call a key wrong before it knows the configuration', async () => {
-    // A router is started while the platform is away. A caller with a valid key that hears 401 gives
-    // up for good; it must hear that the router is starting and when to come back.
+  it('does not refuse a key as invalid before the first configuration', async () => {
+    // A router starts while the platform is unavailable. A caller with a valid key would stop
+    // retrying on a 401; it must be told that the router is starting and when to retry.
     const router = await startRouter();
     router.setConfiguration({ ...Fakes.createConfiguration(), revision: 0, keysById: new Map() });
     const refused = await Calls.callOnce(`${router.url}/v1/responses`, {
@@ -117,11 +117,11 @@
     expect(refused.headers['retry-after']).toEqual('1');
   });
 
-  it('drains: refuses what is new and ends what is open', async () => {
-    // An operator replaces the VM. Streams in progress must end by themselves, also one whose caller
-    // loses its connection meanwhile; a new request must be told to go elsewhere, with nothing run.
+  it('drains: refuses new requests and completes open ones', async () => {
+    // An operator replaces the VM. Streams in progress must complete, even if the caller has to
+    // reconnect meanwhile; a new request must be refused without being run.
     const router = await startRouter();
-    const steps = Fakes.createStepScript();
+    const steps = Fakes.createControlledGeneration();
     router.setScript(steps.script);
     steps.sendText('Hello');
     const open = await Calls.openCall(`${router.url}/v1/responses`, { body: Calls.RESPONSE_BODY });
@@ -137,7 +137,7 @@
     expect(Calls.getError(refused)).toEqual([503, 'draining', null]);
     expect([refused.headers['retry-after'], refused.headers.connection]).toEqual(['1', 'close']);
     expect(isDrained).toEqual(false);
-    open.leave();
+    open.disconnect();
     const id = String(open.headers['x-request-id']);
     const resumed = await Calls.openCall(`${router.url}/v1/responses/${id}?stream=true`);
     steps.sendText(' world');
@@ -150,17 +150,17 @@
     ['/v1/chat/completions', Calls.CHAT_BODY],
     ['/v1/responses', Calls.RESPONSE_BODY],
   ] as const) {
-    it(`ends a stream with an error that the program failed: ${path}`, async () => {
-      // A fault of the program breaks a generation. Ended in the usual way, half an answer would
-      // look whole; not ended at all, its caller would wait for ever.
+    it(`ends a stream with an error event after an internal error: ${path}`, async () => {
+      // A bug makes a generation throw. If the stream ended normally, the partial answer would look
+      // complete; if it did not end, the caller would wait for ever.
       const router = await startRouter();
       router.setScript(async function* runBroken() {
         yield Fakes.createBatch('Half');
         throw new Error('broken invariant');
       });
       const answer = await Calls.callOnce(router.url + path, { body });
-      const isMarked = /event: (error|response\.failed)\n/.test(answer.text);
-      expect([isMarked, answer.text.includes('[DONE]')]).toEqual([true, false]);
+      const hasErrorEvent = /event: (error|response\.failed)\n/.test(answer.text);
+      expect([hasErrorEvent, answer.text.includes('[DONE]')]).toEqual([true, false]);
       const next = await Calls.callOnce(`${router.url}/v1/models`);
       expect(next.status).toEqual(200);
     });
--- a/packages/sequoiarill-plugin-callers/src/__tests__/openai.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/openai.test.ts
@@ -15,8 +15,8 @@
 });
 after(async () => router.stop());
 
-describe('the openai client, unchanged', () => {
-  it('gets a chat completion in one piece', async () => {
+describe('the unmodified openai client', () => {
+  it('gets a non-streaming chat completion', async () => {
     const answer = await client.chat.completions.create({
       model: 'advisor',
       messages: [{ role: 'user', content: [{ type: 'text', text: 'Which size?' }] }],
@@ -45,7 +45,7 @@
     expect(total).toEqual(10);
   });
 
-  it('gets a response in one piece', async () => {
+  it('gets a non-streaming response', async () => {
     const answer = await client.responses.create({
       model: 'advisor',
       input: 'Which size?',
@@ -56,7 +56,7 @@
     expect(answer.usage?.output_tokens).toEqual(3);
   });
 
-  it('gets a response as a stream whose events are numbered without a gap', async () => {
+  it('gets a response as a stream with consecutive sequence numbers', async () => {
     const stream = client.responses.stream({ model: 'advisor', input: 'Which size?' });
     const types: string[] = [];
     const numbers: number[] = [];
@@ -65,7 +65,7 @@
       numbers.push(event.sequence_number);
     }
     const final = await stream.finalResponse();
-    // The client computes `output_text` for answers in one piece only.
+    // The client computes `output_text` for non-streaming answers only.
     const texts = final.output.flatMap((item) =>
       item.type === 'message'
         ? item.content.map((part) => (part.type === 'output_text' ? part.text : ''))
@@ -88,11 +88,11 @@
     ]);
   });
 
-  it('raises an error when an answer is lost half-way', async () => {
-    // The last engine of a model dies in the middle of an answer. Ended in the usual way, the
-    // client would hand half an answer to the shopper as if it were whole.
+  it('raises an error when an answer is lost in the middle', async () => {
+    // The last engine of a model fails in the middle of an answer. If the stream ended normally,
+    // the client would treat the partial answer as complete.
     router.setScript(
-      Fakes.createScript(['Half'], {
+      Fakes.createGenerationScript(['Half'], {
         kind: 'lost',
         message: 'No engine is left.',
         usage: { promptTokens: 1, completionTokens: 1 },
@@ -110,7 +110,7 @@
     } catch (error) {
       code = (error as InstanceType<typeof OpenAI.APIError>).code;
     }
-    router.setScript(Fakes.createScript(['Hello', ' wor', 'ld']));
+    router.setScript(Fakes.createGenerationScript(['Hello', ' wor', 'ld']));
     expect(code).toEqual('generation_lost');
   });
 
--- a/packages/sequoiarill-plugin-callers/src/__tests__/outcomes.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/outcomes.test.ts
@@ -21,33 +21,38 @@
   ['/v1/responses', Calls.RESPONSE_BODY],
 ] as const;
 
-function createNotRun(reason: 'organisationLimit' | 'overloaded'): GenerationOutcome {
+function createNotRunOutcome(reason: 'organisationLimit' | 'overloaded'): GenerationOutcome {
   return { kind: 'notRun', reason, message: 'Too much.', retryAfterSeconds: 3 };
 }
 
-describe('an answer that does not come whole', () => {
+describe('an answer that does not complete', () => {
   for (const [path, streamed] of PATHS) {
     for (const stream of [true, false]) {
       const body = { ...streamed, stream };
 
-      it(`has its own status when nothing ran: ${path}, stream ${stream}`, async () => {
-        // The system is full. A stream that opens with 200 and then breaks off would look like an
-        // answer cut short, and the caller could not tell that trying again is safe.
+      it(`has an error status when nothing was run: ${path}, stream ${stream}`, async () => {
+        // The system is overloaded. A stream that starts with 200 and then ends would look like a
+        // truncated answer, and the caller could not tell that a retry is safe.
         const router = await started;
-        router.setScript(Fakes.createScript([], createNotRun('organisationLimit')));
+        router.setScript(
+          Fakes.createGenerationScript([], createNotRunOutcome('organisationLimit')),
+        );
         const limited = await Calls.callOnce(router.url + path, { body });
-        router.setScript(Fakes.createScript([], createNotRun('overloaded')));
-        const full = await Calls.callOnce(router.url + path, { body });
+        router.setScript(Fakes.createGenerationScript([], createNotRunOutcome('overloaded')));
+        const overloaded = await Calls.callOnce(router.url + path, { body });
         expect(Calls.getError(limited)).toEqual([429, 'rate_limit_exceeded', null]);
-        expect(Calls.getError(full)).toEqual([503, 'overloaded', null]);
-        expect([limited.headers['retry-after'], full.headers['retry-after']]).toEqual(['3', '3']);
+        expect(Calls.getError(overloaded)).toEqual([503, 'overloaded', null]);
+        expect([limited.headers['retry-after'], overloaded.headers['retry-after']]).toEqual([
+          '3',
+          '3',
+        ]);
       });
 
-      it(`names the parameter that an engine refuses: ${path}, stream ${stream}`, async () => {
+      it(`reports the parameter that an engine rejects: ${path}, stream ${stream}`, async () => {
         const router = await started;
         const message = 'The prompt is too long.';
         router.setScript(
-          Fakes.createScript([], { kind: 'rejected', message, parameter: 'messages' }),
+          Fakes.createGenerationScript([], { kind: 'rejected', message, parameter: 'messages' }),
         );
         const answer = await Calls.callOnce(router.url + path, { body });
         expect(Calls.getError(answer)).toEqual([400, 'request_rejected', 'messages']);
@@ -56,10 +61,10 @@
   }
 
   it('ends a chat stream with an error and without [DONE]', async () => {
-    // All engines of a model die in the middle of an answer. The caller must learn at once that it
-    // is cut, and when to come back; silence would look like a slow engine.
+    // All engines of a model fail in the middle of an answer. The caller must be notified at once
+    // that it is truncated, and when to retry; silence would look like a slow engine.
     const router = await started;
-    router.setScript(Fakes.createScript(['Size '], LOST));
+    router.setScript(Fakes.createGenerationScript(['Size '], LOST));
     const { text } = await Calls.callOnce(`${router.url}/v1/chat/completions`, {
       body: Calls.CHAT_BODY,
     });
@@ -77,9 +82,9 @@
   });
 
   it('ends a response stream with response.failed', async () => {
-    // The same loss, seen through the Responses API.
+    // The same failure through the Responses API.
     const router = await started;
-    router.setScript(Fakes.createScript(['Size '], LOST));
+    router.setScript(Fakes.createGenerationScript(['Size '], LOST));
     const { text } = await Calls.callOnce(`${router.url}/v1/responses`, {
       body: Calls.RESPONSE_BODY,
     });
@@ -93,11 +98,11 @@
     });
   });
 
-  it('fails an answer in one piece that was lost half-way', async () => {
-    // A caller that asked for one piece gets no half of it with status 200.
+  it('fails a non-streaming answer that was lost in the middle', async () => {
+    // A caller of a non-streaming answer must not get a partial one with status 200.
     const router = await started;
     for (const [path, streamed] of PATHS) {
-      router.setScript(Fakes.createScript(['Size '], LOST));
+      router.setScript(Fakes.createGenerationScript(['Size '], LOST));
       const body = { ...streamed, stream: false };
       const answer = await Calls.callOnce(router.url + path, { body });
       expect(Calls.getError(answer)).toEqual([503, 'generation_lost', null]);
@@ -105,10 +110,10 @@
     }
   });
 
-  it('says "length" and "incomplete" when the output limit ends it', async () => {
+  it('has the status "length" or "incomplete" when the output limit ends it', async () => {
     const router = await started;
     const outcome: GenerationOutcome = { kind: 'completed', finishReason: 'length', usage: USAGE };
-    router.setScript(Fakes.createScript(['Size '], outcome));
+    router.setScript(Fakes.createGenerationScript(['Size '], outcome));
     const chat = await Calls.callOnce(`${router.url}/v1/chat/completions`, {
       body: { ...Calls.CHAT_BODY, stream: false },
     });
--- a/packages/sequoiarill-plugin-callers/src/__tests__/responseLog.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/responseLog.test.ts
@@ -14,32 +14,32 @@
   waitMs: async () => undefined,
 };
 
-describe('the log of a response', () => {
-  it('drops only what every reader has taken', () => {
-    // Two windows show one answer, one of them far behind. Dropping what the quick one has taken
-    // would leave a hole in the slow one.
+describe('response log', () => {
+  it('drops only events that every reader has read', () => {
+    // Two readers follow one answer, one of them far behind. Dropping what only the fast reader has
+    // read would leave a gap for the slow one.
     const log = ResponseLogs.createResponseLog(() => undefined);
-    const quick = log.openReader(0);
+    const fastReader = log.openReader(0);
     const slow = log.openReader(0);
     log.addEvent('one ');
-    expect(slow.takeEvents()).toEqual('one ');
+    expect(slow.readNextEvents()).toEqual('one ');
     log.addEvent('two ');
     log.addEvent('three ');
-    expect(quick.takeEvents()).toEqual('one two three ');
-    log.removeTaken(0);
+    expect(fastReader.readNextEvents()).toEqual('one two three ');
+    log.removeReadEvents(0);
     expect([log.getFirstSequence(), log.getNextSequence()]).toEqual([1, 3]);
-    expect(slow.takeEvents()).toEqual('two three ');
+    expect(slow.readNextEvents()).toEqual('two three ');
   });
 
-  it('keeps everything while nobody reads', () => {
-    // The caller is between two connections. What it has not read yet exists nowhere else.
+  it('keeps all events while there is no reader', () => {
+    // The caller is reconnecting. Events that it has not read yet are stored nowhere else.
     const log = ResponseLogs.createResponseLog(() => undefined);
     log.addEvent('one ');
-    log.removeTaken(0);
-    expect(log.openReader(0).takeEvents()).toEqual('one ');
+    log.removeReadEvents(0);
+    expect(log.openReader(0).readNextEvents()).toEqual('one ');
   });
 
-  it('counts the bytes kept, also those of other scripts', () => {
+  it('counts retained bytes, not characters', () => {
     let bytes = 0;
     const log = ResponseLogs.createResponseLog((change) => {
       bytes += change;
@@ -48,40 +48,40 @@
     log.addEvent('ð');
     log.addEvent('ab');
     expect([bytes, log.getBytes(), log.getBacklogBytes()]).toEqual([4, 4, 4]);
-    reader.takeEvents();
+    reader.readNextEvents();
     expect(log.getBacklogBytes()).toEqual(0);
-    log.removeTaken(2);
+    log.removeReadEvents(2);
     expect([bytes, log.getBytes()]).toEqual([2, 2]);
   });
 });
 
-describe('room for a generation', () => {
+describe('capacity for a generation', () => {
   const settings = { ...settingsSchema.parse({}), maxResponseBytes: 100, maxRetainedBytes: 250 };
 
-  it('ends when nobody reads and the response is at its bound', () => {
-    // A caller leaves a very long answer for the whole grace. Its events may fill their bound, not
-    // the memory of the router.
+  it('is exhausted when there is no reader and the response exceeds its limit', () => {
+    // A caller disconnects from a very long answer for the full grace period. The retained events
+    // must stay within the limit of the response instead of filling the router's memory.
     const store = ResponseStores.createResponseStore(settings, CLOCK);
-    const log = ResponseLogs.createResponseLog(store.recordBytes);
+    const log = ResponseLogs.createResponseLog(store.recordSizeChange);
     log.addEvent('x'.repeat(100));
-    expect(store.hasRoom(log)).toEqual(true);
+    expect(store.hasCapacity(log)).toEqual(true);
     log.addEvent('x');
-    expect(store.hasRoom(log)).toEqual(false);
-    log.openReader(0).takeEvents();
-    expect(store.hasRoom(log)).toEqual(true);
+    expect(store.hasCapacity(log)).toEqual(false);
+    log.openReader(0).readNextEvents();
+    expect(store.hasCapacity(log)).toEqual(true);
     expect(log.getBytes() <= 100).toEqual(true);
   });
 
-  it('is given to those who read when all responses together are at their bound', () => {
+  it('is left only for responses with a reader when all responses exceed the total limit', () => {
     const store = ResponseStores.createResponseStore(settings, CLOCK);
-    const logs = [1, 2, 3].map(() => ResponseLogs.createResponseLog(store.recordBytes));
+    const logs = [1, 2, 3].map(() => ResponseLogs.createResponseLog(store.recordSizeChange));
     logs.forEach((log) => log.addEvent('x'.repeat(100)));
     const [left, , read] = logs;
-    read?.openReader(0).takeEvents();
-    expect(left && store.hasRoom(left)).toEqual(false);
-    expect(read && store.hasRoom(read)).toEqual(true);
+    read?.openReader(0).readNextEvents();
+    expect(left && store.hasCapacity(left)).toEqual(false);
+    expect(read && store.hasCapacity(read)).toEqual(true);
     expect(read?.getBytes()).toEqual(0);
-    expect(left && store.hasRoom(left)).toEqual(true);
+    expect(left && store.hasCapacity(left)).toEqual(true);
   });
 });
 
@@ -94,7 +94,7 @@
     position: { generation: 2, tokenOffset: 130, target: 'engine-1', fence: 9 },
   };
 
-  it('is read by every router that has the key', () => {
+  it('is accepted by every router with the same key', () => {
     const text = Cursors.createCursorSigner(KEY).signCursor(cursor);
     expect(Cursors.createCursorSigner(KEY).verifyCursor(text)).toEqual(cursor);
     expect(Cursors.createCursorSigner('cd'.repeat(32)).verifyCursor(text)).toEqual(undefined);
--- a/packages/sequoiarill-plugin-callers/src/__tests__/services.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/services.test.ts
@@ -17,11 +17,11 @@
 };
 
 describe('requests to plain services', () => {
-  it('go out as the caller sent them and come back as the service answered', async () => {
+  it('are forwarded as the caller sent them, and answered as the service did', async () => {
     const router = await started;
-    const seen: OrderRequest[] = [];
+    const receivedOrders: OrderRequest[] = [];
     router.setOrders(async (order) => {
-      seen.push(order);
+      receivedOrders.push(order);
       return DONE;
     });
     const answer = await Calls.callOnce(`${router.url}/v1/services/stock/pairs/a%2Fb?q=1&q=%20`, {
@@ -29,7 +29,7 @@
       headers: { 'Idempotency-Key': 'k', 'X-Shop': 's', 'Keep-Alive': 'x', TE: 'trailers' },
       body: Buffer.from([0, 255]),
     });
-    const [order] = seen;
+    const [order] = receivedOrders;
     expect([order?.service, order?.method, order?.path]).toEqual([
       'stock',
       'PATCH',
@@ -47,7 +47,7 @@
     expect(answer.headers['x-request-id']).toEqual(order?.requestId);
   });
 
-  const NOT_RUN = [
+  const NOT_RUN_STATUSES = [
     ['noTarget', 503],
     ['overloaded', 503],
     ['draining', 503],
@@ -55,8 +55,8 @@
     ['keyReused', 422],
     ['unknownService', 404],
   ] as const;
-  for (const [reason, status] of NOT_RUN) {
-    it(`are told that they were not run: ${reason}`, async () => {
+  for (const [reason, status] of NOT_RUN_STATUSES) {
+    it(`report that they were not run: ${reason}`, async () => {
       const router = await started;
       const retryAfterSeconds = 2;
       router.setOrders(async () => ({ kind: 'notRun', reason, message: 'm', retryAfterSeconds }));
@@ -67,15 +67,15 @@
     });
   }
 
-  const NOT_SENT = [
+  const NOT_SENT_STATUSES = [
     ['platformAway', 503],
     ['inProgress', 409],
   ] as const;
-  for (const [reason, status] of NOT_SENT) {
-    it(`are not told "not run" where an earlier sending may have run: ${reason}`, async () => {
-      // A technician books, hears nothing, and books again with the same key while the first booking
-      // runs or its claim can't be read. "Not run" would be read as true of the booking, and a second
-      // one with a new key would send two crews.
+  for (const [reason, status] of NOT_SENT_STATUSES) {
+    it(`do not report "not run" when an earlier request may have run: ${reason}`, async () => {
+      // A caller gets no answer to a booking and retries with the same key while the first request
+      // runs or its claim cannot be read. "Not run" would be taken to apply to the booking as a
+      // whole, and a retry with a new key would book twice.
       const router = await started;
       const retryAfterSeconds = 2;
       router.setOrders(async () => ({ kind: 'notRun', reason, message: 'm', retryAfterSeconds }));
@@ -86,7 +86,7 @@
     });
   }
 
-  it('are refused with an empty key', async () => {
+  it('are refused with an empty idempotency key', async () => {
     const router = await started;
     const headers = { 'Idempotency-Key': '' };
     const options = { method: 'POST', headers };
@@ -95,9 +95,9 @@
     expect(answer.headers['x-sequoiarill-outcome']).toEqual('not-run');
   });
 
-  it('are told when the outcome is unknown', async () => {
-    // A booking may or may not have run. "Not run" would bring a second crew; a plain 502 would
-    // leave the technician guessing which of the two it was.
+  it('report an unknown outcome', async () => {
+    // A booking may or may not have run. "Not run" would cause a second booking; a 502 without an
+    // outcome would not tell the caller whether a retry is safe.
     const router = await started;
     router.setOrders(async () => ({ kind: 'unknown', message: 'The connection broke.' }));
     const answer = await Calls.callOnce(`${router.url}/v1/services/stock`, { method: 'POST' });
@@ -105,13 +105,13 @@
     expect(answer.headers['x-sequoiarill-outcome']).toEqual('unknown');
   });
 
-  it('of another organisation look like those that do not exist', async () => {
+  it('of another organisation are refused like those that do not exist', async () => {
     const router = await started;
     router.setOrders(async () => DONE);
     const key = Fakes.DOORS_KEY;
-    const theirs = await Calls.callOnce(`${router.url}/v1/services/stock`, { key });
-    const none = await Calls.callOnce(`${router.url}/v1/services/none`, { key });
-    expect(Calls.getError(theirs)).toEqual([404, 'unknown_service', null]);
-    expect(none.text).toEqual(theirs.text.replace('stock', 'none'));
+    const foreign = await Calls.callOnce(`${router.url}/v1/services/stock`, { key });
+    const unknown = await Calls.callOnce(`${router.url}/v1/services/none`, { key });
+    expect(Calls.getError(foreign)).toEqual([404, 'unknown_service', null]);
+    expect(unknown.text).toEqual(foreign.text.replace('stock', 'none'));
   });
 });
--- a/packages/sequoiarill-plugin-callers/src/__tests__/slowReader.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/slowReader.test.ts
@@ -5,21 +5,24 @@
 
 import * as Calls from './calls';
 import * as Fakes from './fakes';
-import type { Script } from './fakes';
+import type { GenerationScript } from './fakes';
 
-const BATCHES = 600;
-/** In all 38 MB: far more than the socket buffers of both ends hold. */
+const BATCH_COUNT = 600;
+/** 38 MB in total: far more than the socket buffers of both ends hold. */
 const BATCH_BYTES = 65_536;
 
 const started = Fakes.startRouter();
 after(async () => (await started).stop());
 
-/** A long answer that counts what was taken from the engine. */
-function createLongScript(): { readonly script: Script; readonly getTaken: () => number } {
+/** Creates a long answer and counts the batches read from the engine. */
+function createLongGeneration(): {
+  readonly script: GenerationScript;
+  readonly getTaken: () => number;
+} {
   let taken = 0;
   return {
     script: async function* runLong() {
-      for (let index = 0; index < BATCHES; index += 1) {
+      for (let index = 0; index < BATCH_COUNT; index += 1) {
         taken += 1;
         const batch: TokenBatch = Fakes.createBatch(String(index % 10).repeat(BATCH_BYTES));
         yield batch;
@@ -35,40 +38,43 @@
     ['/v1/chat/completions', Calls.CHAT_BODY],
     ['/v1/responses', Calls.RESPONSE_BODY],
   ] as const) {
-    it(`slows its own answer only, and gets it whole: ${path}`, async () => {
-      // A van in a tunnel stops reading in the middle of a long answer. Without back pressure the
-      // router would take the whole answer from the engine and hold it in memory.
+    it(`slows down only its own answer, and receives it in full: ${path}`, async () => {
+      // A caller stops reading in the middle of a long answer. Without backpressure the router
+      // would read the full answer from the engine and hold it in memory.
       const router = await started;
-      const long = createLongScript();
-      router.setScript(long.script);
+      const longGeneration = createLongGeneration();
+      router.setScript(longGeneration.script);
       const slow = await Calls.openCall(router.url + path, { body });
-      await Calls.waitForQuiet(long.getTaken);
-      const held = long.getTaken();
+      await Calls.waitForIdle(longGeneration.getTaken);
+      const takenWhileBlocked = longGeneration.getTaken();
       const dump = (await router.kernel.dumpProcess()).plugins.callers;
       expect(dump?.requests).toEqual({ waiting: 0, sending: 0, blocked: 1 });
-      router.setScript(Fakes.createScript(['Hello']));
+      router.setScript(Fakes.createGenerationScript(['Hello']));
       const quick = await Calls.callOnce(router.url + path, { body });
       expect(quick.text.includes('Hello')).toEqual(true);
-      expect(held < BATCHES).toEqual(true);
-      expect(long.getTaken()).toEqual(held);
+      expect(takenWhileBlocked < BATCH_COUNT).toEqual(true);
+      expect(longGeneration.getTaken()).toEqual(takenWhileBlocked);
       const text = await slow.readUntil();
-      expect(long.getTaken()).toEqual(BATCHES);
+      expect(longGeneration.getTaken()).toEqual(BATCH_COUNT);
       const digits = [...text.matchAll(/"(?:delta|content)":"(\d)(\d+)"/g)].map(
         (match) => `${match[1]}x${(match[2] ?? '').length + 1}`,
       );
-      const expected = Array.from({ length: BATCHES }, (_, one) => `${one % 10}x${BATCH_BYTES}`);
-      expect(digits.slice(0, BATCHES)).toEqual(expected);
+      const expected = Array.from(
+        { length: BATCH_COUNT },
+        (_, one) => `${one % 10}x${BATCH_BYTES}`,
+      );
+      expect(digits.slice(0, BATCH_COUNT)).toEqual(expected);
     });
   }
 
-  it('is taken as gone when it reads nothing for long', async (test) => {
-    // A caller's machine loses power; no packet tells the router. The stream must not hold its
-    // engine and its place for ever.
+  it('is disconnected when it reads nothing until the write timeout', async (test) => {
+    // A caller's machine loses power, and the router receives no packet about it. The stream must
+    // not occupy its engine and its connection for ever.
     const router = await Fakes.startRouter({ writeTimeoutMs: 20, resumeGraceMs: 1 });
     test.after(router.stop);
-    const long = createLongScript();
+    const long = createLongGeneration();
     let isStopped = false;
-    router.setScript(async function* runWatched(request) {
+    router.setScript(async function* runMonitored(request) {
       try {
         return yield* long.script(request);
       } finally {
@@ -77,7 +83,7 @@
     });
     const slow = await Calls.openCall(`${router.url}/v1/responses`, { body: Calls.RESPONSE_BODY });
     await Calls.waitUntil(() => isStopped);
-    expect(long.getTaken() < BATCHES).toEqual(true);
-    slow.leave();
+    expect(long.getTaken() < BATCH_COUNT).toEqual(true);
+    slow.disconnect();
   });
 });
--- a/packages/sequoiarill-plugin-callers/src/bodies.ts
+++ b/packages/sequoiarill-plugin-callers/src/bodies.ts
@@ -1,10 +1,10 @@
-/** Bodies of requests, bounded. */
+/** Reads and parses request bodies of limited size. */
 import type { IncomingMessage } from 'node:http';
 
 import * as Faults from './faults';
-import type { Checked, Fault } from './faults';
+import type { ValidationResult, Fault } from './faults';
 
-function createTooLarge(maxBytes: number): Fault {
+function createBodyTooLargeFault(maxBytes: number): Fault {
   return {
     status: 413,
     type: 'invalid_request_error',
@@ -14,14 +14,17 @@
 }
 
 /**
- * Reads a whole body. What is over the bound is read and thrown away, never kept: closing the
- * connection in the middle of it would reset it, and the caller would lose the answer 413.
+ * Reads the full body. Bytes above the limit are read and discarded: closing the connection while
+ * the caller is still sending would reset it, and the caller would not receive the 413 response.
  */
 export async function readBody(
   request: IncomingMessage,
   maxBytes: number,
-): Promise<Checked<Buffer>> {
-  const fault: Checked<Buffer> = { kind: 'fault', fault: createTooLarge(maxBytes) };
+): Promise<ValidationResult<Buffer>> {
+  const fault: ValidationResult<Buffer> = {
+    kind: 'fault',
+    fault: createBodyTooLargeFault(maxBytes),
+  };
   if (Number(request.headers['content-length'] ?? 0) > maxBytes) {
     request.resume();
     return fault;
@@ -35,19 +38,19 @@
       else resolve(fault);
     });
     request.on('end', () => resolve({ kind: 'value', value: Buffer.concat(chunks) }));
-    request.on('error', () => resolve({ kind: 'fault', fault: BROKEN_BODY }));
-    request.on('close', () => resolve({ kind: 'fault', fault: BROKEN_BODY }));
+    request.on('error', () => resolve({ kind: 'fault', fault: BROKEN_BODY_FAULT }));
+    request.on('close', () => resolve({ kind: 'fault', fault: BROKEN_BODY_FAULT }));
   });
 }
 
-const BROKEN_BODY = Faults.createInvalid('broken_body', 'The request body ended early.');
+const BROKEN_BODY_FAULT = Faults.createBadRequest('broken_body', 'The request body ended early.');
 
-/** Parses a JSON body; anything but an object is refused. */
-export function parseJson(body: Buffer): Checked<unknown> {
+/** Parses a JSON body; the schemas check that it is an object. */
+export function parseJson(body: Buffer): ValidationResult<unknown> {
   try {
     return { kind: 'value', value: JSON.parse(body.toString('utf8')) as unknown };
   } catch {
     const message = 'The request body is not valid JSON.';
-    return { kind: 'fault', fault: Faults.createInvalid('invalid_json', message) };
+    return { kind: 'fault', fault: Faults.createBadRequest('invalid_json', message) };
   }
 }
--- a/packages/sequoiarill-plugin-callers/src/chat.ts
+++ b/packages/sequoiarill-plugin-callers/src/chat.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/chat/completions`, as a stream or in one piece. */
+/** `POST /v1/chat/completions`, streaming or not. */
 import type { GenerationOutcome } from '@sequoiarill/types';
 
 import * as ChatEvents from './chatEvents';
@@ -7,8 +7,8 @@
 import type { ChatRequest } from './chatSchema';
 import * as Events from './events';
 import * as EventStreams from './eventStream';
-import type { Exchange, Front } from './exchange';
-import * as Generating from './generating';
+import type { Exchange, HandlerDependencies } from './exchange';
+import * as GenerationRequests from './generationRequest';
 import * as GenerationRuns from './generationRun';
 import type { GenerationRun } from './generationRun';
 import * as Metrics from './metrics';
@@ -18,29 +18,35 @@
 
 const HTTP_OK = 200;
 
-export async function handleChat(front: Front, exchange: Exchange): Promise<void> {
-  const checked = await Generating.readRequest(front, exchange, ChatSchema.parseChatRequest);
+export async function handleChat(deps: HandlerDependencies, exchange: Exchange): Promise<void> {
+  const checked = await GenerationRequests.readRequest(deps, exchange, ChatSchema.parseChatRequest);
   if (checked.kind === 'fault') {
-    Refusals.refuseRequest(front, exchange, checked.fault);
+    Refusals.refuseRequest(deps, exchange, checked.fault);
     return;
   }
   const { request, model } = checked.value;
   const { requestId, organisation, closed } = exchange;
-  front.context.journal.recordDecision(requestId, 'accepted', 'chat completion', {
+  deps.context.journal.recordDecision(requestId, 'accepted', 'chat completion', {
     organisation: organisation.name,
     model: request.model,
     stream: request.stream,
   });
-  const generation = Generating.buildGeneration(requestId, request, model, organisation, closed);
-  const run = front.generations.runGeneration(generation);
-  const created = Generating.getCreatedSeconds(front);
+  const generation = GenerationRequests.buildGenerationRequest(
+    requestId,
+    request,
+    model,
+    organisation,
+    closed,
+  );
+  const run = deps.generations.runGeneration(generation);
+  const created = GenerationRequests.getUnixSeconds(deps);
   const identity: ChatIdentity = { id: requestId, created, model: request.model };
-  if (request.stream) await relayStream(front, exchange, identity, request, run);
-  else await sendWhole(front, exchange, identity, run);
+  if (request.stream) await relayStream(deps, exchange, identity, request, run);
+  else await sendFullAnswer(deps, exchange, identity, run);
 }
 
-async function sendWhole(
-  front: Front,
+async function sendFullAnswer(
+  deps: HandlerDependencies,
   exchange: Exchange,
   identity: ChatIdentity,
   run: GenerationRun,
@@ -59,31 +65,31 @@
     const { finishReason, usage } = outcome;
     const body = ChatEvents.formatCompletion(identity, text, finishReason, usage);
     Replies.sendJson(exchange.response, HTTP_OK, body);
-    recordEnd(front, exchange, outcome, tokens);
+    recordEnd(deps, exchange, outcome, tokens);
     return;
   }
-  if (outcome.kind === 'cancelled') front.context.metrics.addCount(Metrics.WASTED_TOKENS, tokens);
-  Refusals.refuseFailure(front, exchange, outcome);
+  if (outcome.kind === 'cancelled') deps.context.metrics.addCount(Metrics.WASTED_TOKENS, tokens);
+  Refusals.refuseFailedGeneration(deps, exchange, outcome);
 }
 
 /**
- * Nothing is written before the first batch or the outcome, so that a request that was not run is
- * answered with its own status instead of a stream that breaks off.
+ * Writes nothing before the first batch or the outcome, so that a request that was not run gets an
+ * error status instead of a stream that ends early.
  */
 async function relayStream(
-  front: Front,
+  deps: HandlerDependencies,
   exchange: Exchange,
   identity: ChatIdentity,
   request: ChatRequest,
   run: GenerationRun,
 ): Promise<void> {
   const { response } = exchange;
-  const { clock } = front.context;
+  const { clock } = deps.context;
   const chunks = ChatEvents.createChatChunks(identity, request.includeUsage);
   let tokens = 0;
   let step = await run.next();
   if (step.done === true && step.value.kind !== 'completed') {
-    Refusals.refuseFailure(front, exchange, step.value);
+    Refusals.refuseFailedGeneration(deps, exchange, step.value);
     return;
   }
   EventStreams.startEventStream(exchange);
@@ -93,34 +99,34 @@
     tokens += tokenCount;
     if (text !== '') pending += chunks.formatDelta(text);
     if (pending !== '' && !response.destroyed && !response.write(pending)) {
-      await EventStreams.waitDrain(exchange, clock, front.settings.writeTimeoutMs);
+      await EventStreams.waitForDrain(exchange, clock, deps.settings.writeTimeoutMs);
     }
     pending = '';
     step = response.destroyed ? await run.return(GenerationRuns.CANCELLED) : await run.next();
   }
   const outcome = step.value;
   if (!response.destroyed) response.end(pending + formatEnd(chunks, outcome));
-  recordEnd(front, exchange, outcome, tokens);
+  recordEnd(deps, exchange, outcome, tokens);
 }
 
 function formatEnd(chunks: ChatEvents.ChatChunks, outcome: GenerationOutcome): string {
   if (outcome.kind === 'completed') return chunks.formatEnd(outcome.finishReason, outcome.usage);
-  // No `[DONE]`: a caller that looks for it sees that the answer is cut.
+  // Omits `[DONE]`, so that a caller that checks for it notices the truncated answer.
   return EventStreams.formatErrorEvent(Outcomes.createFailureFault(outcome));
 }
 
 function recordEnd(
-  front: Front,
+  deps: HandlerDependencies,
   exchange: Exchange,
   outcome: GenerationOutcome,
   tokens: number,
 ): void {
-  const { journal, logEvent, metrics } = front.context;
+  const { journal, logEvent, metrics } = deps.context;
   const { requestId, organisation } = exchange;
   const details = { organisation: organisation.name, tokens };
   if (outcome.kind === 'cancelled') {
     metrics.addCount(Metrics.WASTED_TOKENS, tokens);
-    journal.recordDecision(requestId, 'cancelled', 'the caller left', details);
+    journal.recordDecision(requestId, 'cancelled', 'the caller disconnected', details);
     logEvent(Events.ANSWER_ABANDONED, { requestId, ...details });
     return;
   }
--- a/packages/sequoiarill-plugin-callers/src/chatEvents.ts
+++ b/packages/sequoiarill-plugin-callers/src/chatEvents.ts
@@ -1,4 +1,4 @@
-/** Chat completions in the published form: one object, or chunks of a stream. */
+/** Formats chat completions as published: as one object or as chunks of a stream. */
 import type { FinishReason, Usage } from '@sequoiarill/types';
 
 export interface ChatIdentity {
@@ -9,13 +9,13 @@
 }
 
 export interface ChatChunks {
-  /** The first chunk, which names the role. */
+  /** The first chunk, which carries the role. */
   readonly opening: string;
   readonly formatDelta: (text: string) => string;
   readonly formatEnd: (finishReason: FinishReason, usage: Usage) => string;
 }
 
-/** Ends every complete stream; its absence tells a caller that the answer is cut. */
+/** Ends every complete stream; its absence tells the caller that the answer is truncated. */
 const DONE = 'data: [DONE]\n\n';
 
 function buildUsage(usage: Usage): Readonly<Record<string, number>> {
@@ -43,7 +43,7 @@
   });
 }
 
-/** Chunks of one stream; what is the same in all of them is encoded once. */
+/** Formats the chunks of one stream; fields common to all chunks are encoded only once. */
 export function createChatChunks(identity: ChatIdentity, includeUsage: boolean): ChatChunks {
   const shared = JSON.stringify({
     id: identity.id,
--- a/packages/sequoiarill-plugin-callers/src/chatSchema.ts
+++ b/packages/sequoiarill-plugin-callers/src/chatSchema.ts
@@ -1,7 +1,7 @@
-/** The body of `POST /v1/chat/completions`. */
+/** Schema of the body of `POST /v1/chat/completions`. */
 import * as Zod from 'zod';
 
-import type { Checked } from './faults';
+import type { ValidationResult } from './faults';
 import * as RequestSchema from './requestSchema';
 import type { TextRequest } from './requestSchema';
 
@@ -9,8 +9,8 @@
 
 const stopSchema = Zod.string().min(1);
 
-const neutralFields = {
-  ...RequestSchema.neutralFields,
+const unsupportedFields = {
+  ...RequestSchema.unsupportedFields,
   n: Zod.literal(1).nullish(),
   logprobs: Zod.literal(false).nullish(),
   response_format: Zod.strictObject({ type: Zod.literal('text') }).nullish(),
@@ -23,14 +23,14 @@
 const messageSchema = Zod.strictObject({
   role: RequestSchema.roleSchema,
   content: RequestSchema.contentSchema,
-  // An earlier answer may be sent back as it came.
+  // Callers may send an earlier answer back unmodified as conversation history.
   refusal: Zod.null().optional(),
   annotations: Zod.array(Zod.unknown()).max(0).optional(),
 });
 
 const schema = Zod.strictObject({
   ...RequestSchema.sharedFields,
-  ...neutralFields,
+  ...unsupportedFields,
   messages: Zod.array(messageSchema).min(1),
   max_tokens: RequestSchema.tokenLimitSchema,
   max_completion_tokens: RequestSchema.tokenLimitSchema,
@@ -43,14 +43,14 @@
   }).nullish(),
 });
 
-const neutralNames: ReadonlySet<string> = new Set(Object.keys(neutralFields));
+const unsupportedNames: ReadonlySet<string> = new Set(Object.keys(unsupportedFields));
 
 export interface ChatRequest extends TextRequest {
   readonly includeUsage: boolean;
 }
 
-export function parseChatRequest(body: unknown): Checked<ChatRequest> {
-  const checked = RequestSchema.parseRequest(schema, neutralNames, body);
+export function parseChatRequest(body: unknown): ValidationResult<ChatRequest> {
+  const checked = RequestSchema.parseRequestBody(schema, unsupportedNames, body);
   if (checked.kind === 'fault') return checked;
   const { value } = checked;
   const stop = value.stop ?? [];
--- a/packages/sequoiarill-plugin-callers/src/cursors.ts
+++ b/packages/sequoiarill-plugin-callers/src/cursors.ts
@@ -1,18 +1,19 @@
 /**
- * Signed places in the event stream of a response, sent as SSE `id:` and sent back by the caller
- * as `Last-Event-ID`. The signature covers the whole payload, so a caller can make up neither a
- * response, nor an organisation, nor a place.
+ * Signed positions in the event stream of a response, sent as SSE `id:` and returned by the caller
+ * as `Last-Event-ID`. The signature covers the full payload, so a caller can forge neither the
+ * response, nor the organisation, nor the position.
  */
 import * as Crypto from 'node:crypto';
 
 import * as Zod from 'zod';
 
-/** Where the engines were at that event: enough for another router to go on from there. */
+/** Position of the generation at an event; sufficient for another router to continue from it. */
 export interface EnginePosition {
   readonly generation: number;
-  /** Output tokens that the caller has, this event's included. */
+  /** Output tokens that the caller has received, including those of this event. */
   readonly tokenOffset: number;
   readonly target: string;
+  /** Fencing number. */
   readonly fence: number;
 }
 
@@ -25,14 +26,14 @@
 
 export interface CursorSigner {
   readonly signCursor: (cursor: Cursor) => string;
-  /** `undefined` for anything this key did not sign. */
+  /** Returns `undefined` for any text that was not signed with this key. */
   readonly verifyCursor: (text: string) => Cursor | undefined;
 }
 
 const KEY_BYTES = 32;
-/** 132 bits of the digest in base64url: they cannot be guessed, and each event carries them. */
+/** 132 bits of the digest in base64url: not guessable, but short, since each event carries them. */
 const MAC_LENGTH = 22;
-/** Raised when the payload changes in a way that older routers must refuse. */
+/** Incremented when the payload changes in a way that older routers must refuse. */
 const VERSION = 1;
 
 const payloadSchema = Zod.strictObject({
@@ -50,9 +51,9 @@
 
 type Payload = Zod.infer<typeof payloadSchema>;
 
-/** `key` is hexadecimal; without it, cursors hold for this process only. */
+/** `key` is hexadecimal; without one, cursors are valid in this process only. */
 export function createCursorSigner(key: string | undefined): CursorSigner {
-  // A buffer, not a key object: each event is signed, and a key object costs half as much again.
+  // A buffer, since each event is signed and signing with a key object costs 50% more.
   const secret = key === undefined ? Crypto.randomBytes(KEY_BYTES) : Buffer.from(key, 'hex');
 
   function computeMac(encoded: string): string {
@@ -84,7 +85,7 @@
   return { ...payload, e: [generation, tokenOffset, target, fence] };
 }
 
-/** Signed by this key, but perhaps by a newer version of the program. */
+/** The payload has a valid signature, but may come from a newer version of the router. */
 function decodePayload(json: string): Cursor | undefined {
   const result = payloadSchema.safeParse(JSON.parse(json));
   if (!result.success) return undefined;
--- a/packages/sequoiarill-plugin-callers/src/dispatch.ts
+++ b/packages/sequoiarill-plugin-callers/src/dispatch.ts
@@ -1,4 +1,4 @@
-/** From a routed HTTP request to its handler: request id, drain, key, method. */
+/** Dispatches routed HTTP requests to handlers: request id, drain, key and method. */
 import * as Kernel from '@sequoiarill/kernel';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -6,91 +6,91 @@
 
 import * as Events from './events';
 import * as EventStreams from './eventStream';
-import type { Exchange, Front, Handler } from './exchange';
+import type { Exchange, HandlerDependencies, Handler } from './exchange';
 import * as Faults from './faults';
-import * as Generating from './generating';
+import * as GenerationRequests from './generationRequest';
 import * as Keys from './keys';
 import * as Metrics from './metrics';
-import * as Notices from './notices';
+import * as Notifiers from './notifier';
 import * as Refusals from './refusals';
 import * as Replies from './replies';
-import * as RequestStates from './requestStates';
-import type { RequestEntry } from './requestStates';
+import * as RequestStateTrackers from './requestStateTracker';
+import type { TrackedRequest } from './requestStateTracker';
 import * as Routes from './routes';
 import type { Route } from './routes';
 
-/** moleculer-web keeps the whole target here and cuts `url` down. */
+/** moleculer-web shortens `url` and keeps the full request target in `originalUrl`. */
 export interface RoutedRequest extends IncomingMessage {
   readonly originalUrl?: string;
 }
 
 export interface Dispatcher {
   readonly handleRequest: (route: Route, request: RoutedRequest, response: ServerResponse) => void;
-  /** Open requests by what they wait for. */
-  readonly getStates: RequestStates.RequestStates['getCounts'];
+  /** Number of open requests by state. */
+  readonly getStates: RequestStateTrackers.RequestStateTracker['getCounts'];
   readonly isDraining: () => boolean;
-  /** Refuses new work and resolves when no request is open. */
+  /** Refuses new requests and resolves when no request is open. */
   readonly drain: () => Promise<void>;
 }
 
-export function createDispatcher(front: Front): Dispatcher {
-  const changed = Notices.createNotice();
-  const states = RequestStates.createRequestStates();
-  let open = 0;
-  let isDrainingNow = false;
+export function createDispatcher(deps: HandlerDependencies): Dispatcher {
+  const requestEnded = Notifiers.createNotifier();
+  const stateTracker = RequestStateTrackers.createRequestStateTracker();
+  let openRequests = 0;
+  let isDraining = false;
 
   function findOwner(request: IncomingMessage): KeyOwner | undefined {
     const presented = Keys.parseBearer(request.headers.authorization);
     if (presented === undefined) return undefined;
-    return Kernel.verifyKey(front.configuration.getConfiguration(), presented);
+    return Kernel.verifyKey(deps.configuration.getConfiguration(), presented);
   }
 
   function checkPhase(route: Route): Faults.Fault | undefined {
-    if (isDrainingNow && route.isOfRunning !== true) return Faults.DRAINING;
-    // Before the first configuration every key looks unknown; 401 would send callers away for good.
-    const isUnknown = front.configuration.getConfiguration().revision === 0;
-    return isUnknown ? Faults.STARTING : undefined;
+    if (isDraining && route.isServedWhileDraining !== true) return Faults.DRAINING;
+    // Before the first configuration every key is unknown; on a 401 callers would stop retrying.
+    const hasNoConfiguration = deps.configuration.getConfiguration().revision === 0;
+    return hasNoConfiguration ? Faults.STARTING : undefined;
   }
 
   async function runHandler(handler: Handler, exchange: Exchange): Promise<void> {
-    open += 1;
+    openRequests += 1;
     try {
-      await handler(front, exchange);
+      await handler(deps, exchange);
     } catch (error) {
-      failExchange(front, exchange, error);
+      failExchange(deps, exchange, error);
     }
-    open -= 1;
+    openRequests -= 1;
     exchange.state.close();
-    changed.sendNotice();
+    requestEnded.sendNotification();
   }
 
   function handleRequest(route: Route, request: RoutedRequest, response: ServerResponse): void {
-    const requestId = Generating.createRequestId(route.idPrefix);
+    const requestId = GenerationRequests.createRequestId(route.idPrefix);
     response.setHeader('x-request-id', requestId);
-    // A caller that resets its connection shows as `close`; the error says nothing more.
+    // A connection reset also emits `close`, which is handled; the error adds no information.
     response.on('error', () => undefined);
     const fault = checkPhase(route) ?? checkMethod(route, request);
     const owner = fault === undefined ? findOwner(request) : undefined;
     if (owner === undefined) {
       const refusal = fault ?? Faults.UNAUTHORISED;
       request.resume();
-      front.context.metrics.addCount(Metrics.REFUSED, 1, { code: refusal.code });
+      deps.context.metrics.addCount(Metrics.REFUSED, 1, { code: refusal.code });
       Replies.sendFault(response, refusal);
       return;
     }
-    front.context.metrics.addCount(Metrics.REQUESTS, 1, { route: route.path });
+    deps.context.metrics.addCount(Metrics.REQUESTS, 1, { route: route.path });
     const handler = findHandler(route, request);
-    const exchange = createExchange(request, response, requestId, owner, states.openEntry());
+    const exchange = createExchange(request, response, requestId, owner, stateTracker.addRequest());
     if (handler !== undefined) runHandler(handler, exchange).catch(() => undefined);
   }
 
   return {
     handleRequest,
-    getStates: states.getCounts,
-    isDraining: () => isDrainingNow,
+    getStates: stateTracker.getCounts,
+    isDraining: () => isDraining,
     async drain() {
-      isDrainingNow = true;
-      while (open > 0) await changed.waitNotice();
+      isDraining = true;
+      while (openRequests > 0) await requestEnded.waitForNotification();
     },
   };
 }
@@ -101,7 +101,7 @@
 
 function checkMethod(route: Route, request: IncomingMessage): Faults.Fault | undefined {
   if (findHandler(route, request) !== undefined) return undefined;
-  return Faults.createWrongMethod(Object.keys(route.methods));
+  return Faults.createMethodNotAllowed(Object.keys(route.methods));
 }
 
 function createExchange(
@@ -109,7 +109,7 @@
   response: ServerResponse,
   requestId: string,
   owner: KeyOwner,
-  state: RequestEntry,
+  state: TrackedRequest,
 ): Exchange {
   const target = request.originalUrl ?? request.url ?? '/';
   const queryStart = target.indexOf('?');
@@ -131,12 +131,15 @@
 }
 
 /**
- * A handler threw, which is a fault of the program. Handlers write whole events only, so a stream
- * that is under way can still end with an error event instead of looking like a whole answer.
+ * Ends an exchange whose handler threw, which is a bug. Handlers write complete events only, so a
+ * stream that has started can still end with an error event and is not mistaken for a full answer.
  */
-function failExchange(front: Front, exchange: Exchange, error: unknown): void {
+function failExchange(deps: HandlerDependencies, exchange: Exchange, error: unknown): void {
   const { requestId, response } = exchange;
-  front.context.logEvent(Events.HANDLER_FAILED, { requestId, stack: Faults.formatStack(error) });
-  if (!response.headersSent) Refusals.refuseRequest(front, exchange, Faults.INTERNAL);
+  deps.context.logEvent(Events.HANDLER_FAILED, {
+    requestId,
+    stack: Faults.formatStack(error),
+  });
+  if (!response.headersSent) Refusals.refuseRequest(deps, exchange, Faults.INTERNAL);
   else if (!response.destroyed) response.end(EventStreams.formatErrorEvent(Faults.INTERNAL));
 }
--- a/packages/sequoiarill-plugin-callers/src/eventStream.ts
+++ b/packages/sequoiarill-plugin-callers/src/eventStream.ts
@@ -1,4 +1,4 @@
-/** Server-sent events towards one caller, at the pace the caller reads. */
+/** Sends server-sent events to one caller, with backpressure. */
 import type { Clock } from '@sequoiarill/types';
 
 import type { Exchange } from './exchange';
@@ -7,42 +7,42 @@
 
 const HTTP_OK = 200;
 
-/** Sends the headers; nothing can be refused with a status after this. */
+/** Sends status and headers; errors can no longer be reported as a status after this. */
 export function startEventStream({ response, state }: Exchange): void {
   state.setState('sending');
   response.writeHead(HTTP_OK, {
     'content-type': 'text/event-stream; charset=utf-8',
     'cache-control': 'no-cache',
-    // Keeps buffering balancers from holding tokens back.
+    // Prevents buffering load balancers from delaying tokens.
     'x-accel-buffering': 'no',
   });
   response.socket?.setNoDelay(true);
 }
 
 /**
- * Waits until a slow caller has read what was written. The wait bounds memory: without it, Node.js
- * buffers what the socket does not take, and one caller that stops reading holds its whole answer
- * in memory. A caller that takes nothing for `limitMs` is treated as gone, so that a half-open
- * connection ends.
+ * Waits until a slow caller has read what was written. This limits memory use: without it, Node.js
+ * would buffer what the socket does not accept, up to the full answer of a caller that stops
+ * reading. A caller that reads nothing for `timeoutMs` is disconnected, which ends half-open
+ * connections.
  */
-export async function waitDrain(
+export async function waitForDrain(
   { response, state }: Exchange,
   clock: Clock,
-  limitMs: number,
+  timeoutMs: number,
 ): Promise<void> {
   state.setState('blocked');
   const settled = new AbortController();
   const onSettled = (): void => settled.abort();
   response.once('drain', onSettled);
   response.once('close', onSettled);
-  await clock.waitMs(limitMs, settled.signal);
+  await clock.waitMs(timeoutMs, settled.signal);
   response.off('drain', onSettled);
   response.off('close', onSettled);
   if (!settled.signal.aborted) response.destroy();
   state.setState('sending');
 }
 
-/** Ends a stream that cannot go on; the clients of the published APIs raise it as an error. */
+/** Formats the final event of a failed stream, which clients of the published APIs raise. */
 export function formatErrorEvent(fault: Fault): string {
   return `event: error\ndata: ${Faults.formatFault(fault)}\n\n`;
 }
--- a/packages/sequoiarill-plugin-callers/src/exchange.ts
+++ b/packages/sequoiarill-plugin-callers/src/exchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller as the handlers see it. */
+/** Types that request handlers work with. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type {
@@ -10,12 +10,12 @@
 } from '@sequoiarill/types';
 
 import type { CursorSigner } from './cursors';
-import type { RequestEntry } from './requestStates';
+import type { TrackedRequest } from './requestStateTracker';
 import type { ResponseStore } from './responseStore';
 import type { CallersSettings } from './settings';
 
-/** What every handler may use. */
-export interface Front {
+/** Dependencies shared by all handlers. */
+export interface HandlerDependencies {
   readonly context: Pick<PluginContext, 'clock' | 'journal' | 'logEvent' | 'metrics'>;
   readonly settings: CallersSettings;
   readonly configuration: ConfigurationReader;
@@ -25,22 +25,22 @@
   readonly cursors: CursorSigner;
 }
 
-/** One request, its answer and whose it is. */
+/** A request, its response and the organisation it belongs to. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly requestId: string;
   readonly organisation: Organisation;
-  /** Path below the origin, without the query. */
+  /** Request path without the query. */
   readonly path: string;
-  /** The query as the caller wrote it, with its `?`; empty without one. */
+  /** The query exactly as sent, including the `?`; empty if there is none. */
   readonly search: string;
   readonly query: URLSearchParams;
-  /** What it waits for right now. */
-  readonly state: RequestEntry;
-  /** Aborted when the connection of the caller is closed. */
+  /** Current state of the request, for the state dump. */
+  readonly state: TrackedRequest;
+  /** Aborted when the caller's connection closes. */
   readonly closed: AbortSignal;
 }
 
-/** Answers one request; must not throw for what a caller can send. */
-export type Handler = (front: Front, exchange: Exchange) => Promise<void>;
+/** Handles one request; must not throw on any input that a caller can send. */
+export type Handler = (deps: HandlerDependencies, exchange: Exchange) => Promise<void>;
--- a/packages/sequoiarill-plugin-callers/src/faultCodes.ts
+++ b/packages/sequoiarill-plugin-callers/src/faultCodes.ts
@@ -1,4 +1,4 @@
-/** Every code of an error answer; docs/callers/ERRORS.md explains each, and a test compares them. */
+/** All codes of error responses; a test checks that docs/callers/ERRORS.md documents each. */
 export const FAULT_CODES = [
   'invalid_json',
   'invalid_value',
@@ -35,7 +35,7 @@
 
 export type FaultCode = (typeof FAULT_CODES)[number];
 
-/** Codes inside a failed response object; the published API has a closed set of them. */
+/** Codes in a failed response object; the published API defines a closed set of them. */
 export const RESPONSE_ERROR_CODES = ['server_error', 'invalid_prompt'] as const;
 
 export type ResponseErrorCode = (typeof RESPONSE_ERROR_CODES)[number];
--- a/packages/sequoiarill-plugin-callers/src/faults.ts
+++ b/packages/sequoiarill-plugin-callers/src/faults.ts
@@ -1,4 +1,4 @@
-/** Errors towards callers, in the published form `{error: {message, type, param, code}}`. */
+/** Error responses to callers, in the published format `{error: {message, type, param, code}}`. */
 import type { FaultCode } from './faultCodes';
 
 export type FaultType =
@@ -8,30 +8,30 @@
   | 'rate_limit_error'
   | 'server_error';
 
-/** One error answer. */
+/** An error response. */
 export interface Fault {
   readonly status: number;
   readonly type: FaultType;
   readonly code: FaultCode;
-  /** What is wrong and how to mend it. */
+  /** What is wrong and how to fix it. */
   readonly message: string;
-  /** Parameter of the request that is wrong. */
+  /** Name of the invalid request parameter. */
   readonly param?: string;
   readonly retryAfterSeconds?: number;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** A checked value, or what to answer instead. */
-export type Checked<Value> =
+/** A valid value, or the error response to send instead. */
+export type ValidationResult<Value> =
   | { readonly kind: 'value'; readonly value: Value }
   | { readonly kind: 'fault'; readonly fault: Fault };
 
-export function createInvalid(code: FaultCode, message: string, param?: string): Fault {
+export function createBadRequest(code: FaultCode, message: string, param?: string): Fault {
   const base: Fault = { status: 400, type: 'invalid_request_error', code, message };
   return param === undefined ? base : { ...base, param };
 }
 
-/** The same for a model that does not exist and for one of another organisation. */
+/** Identical for a model that does not exist and for one that the organisation may not use. */
 export function createUnknownModel(model: string): Fault {
   return {
     status: 404,
@@ -70,7 +70,7 @@
   status: 500,
   type: 'server_error',
   code: 'internal_error',
-  message: 'The router met a fault of its own; the outcome of the request is not known.',
+  message: 'The router hit an internal error; the outcome of the request is unknown.',
 };
 
 export const DRAINING: Fault = {
@@ -91,7 +91,7 @@
   headers: { connection: 'close' },
 };
 
-export function createWrongMethod(allowed: readonly string[]): Fault {
+export function createMethodNotAllowed(allowed: readonly string[]): Fault {
   return {
     status: 405,
     type: 'invalid_request_error',
@@ -101,7 +101,7 @@
   };
 }
 
-/** The body of an error answer, also the `data` of an error event in a stream. */
+/** Formats the body of an error response, or the `data` of an error event in a stream. */
 export function formatFault(fault: Fault): string {
   const { message, type, code, retryAfterSeconds } = fault;
   const error = { message, type, param: fault.param ?? null, code };
@@ -110,7 +110,7 @@
   return JSON.stringify({ error: timed });
 }
 
-/** For logs, never for callers. */
+/** Formats an error with its stack for logs; must not be sent to callers. */
 export function formatStack(error: unknown): string {
   return error instanceof Error ? (error.stack ?? error.message) : String(error);
 }
--- a/packages/sequoiarill-plugin-callers/src/generating.ts
+++ b/packages/sequoiarill-plugin-callers/src/generationRequest.ts
@@ -1,15 +1,15 @@
-/** From a checked request to the generation that answers it. */
+/** Reads and validates text generation requests and builds generations from them. */
 import * as Crypto from 'node:crypto';
 
 import type { Configuration, GenerationRequest, Model, Organisation } from '@sequoiarill/types';
 
 import * as Bodies from './bodies';
-import type { Exchange, Front } from './exchange';
+import type { Exchange, HandlerDependencies } from './exchange';
 import * as Faults from './faults';
-import type { Checked } from './faults';
+import type { ValidationResult } from './faults';
 import type { TextRequest } from './requestSchema';
 
-/** 192 bits: an id cannot be guessed, so it also guards a retained response. */
+/** 192 bits: ids cannot be guessed, which also protects retained responses. */
 const ID_BYTES = 24;
 const MS_PER_SECOND = 1_000;
 
@@ -17,7 +17,7 @@
   return `${prefix}_${Crypto.randomBytes(ID_BYTES).toString('hex')}`;
 }
 
-/** The model, if it exists and the organisation may use it. */
+/** Returns the model if it exists and the organisation may use it. */
 export function findModel(
   configuration: Configuration,
   organisation: Organisation,
@@ -26,7 +26,7 @@
   return organisation.models.includes(name) ? configuration.models.get(name) : undefined;
 }
 
-export function buildGeneration(
+export function buildGenerationRequest(
   requestId: string,
   request: TextRequest,
   model: Model,
@@ -47,26 +47,26 @@
   };
 }
 
-/** A request that may run, and the model it asks for. */
-export interface CheckedRequest<Request extends TextRequest> {
+/** A valid request and the model it names. */
+export interface ValidatedRequest<Request extends TextRequest> {
   readonly request: Request;
   readonly model: Model;
 }
 
-/** Reads and checks a whole request: body, fields, model. */
+/** Reads a request and validates its body, fields and model. */
 export async function readRequest<Request extends TextRequest>(
-  front: Front,
+  deps: HandlerDependencies,
   exchange: Exchange,
-  parse: (body: unknown) => Checked<Request>,
-): Promise<Checked<CheckedRequest<Request>>> {
-  const body = await Bodies.readBody(exchange.request, front.settings.maxBodyBytes);
+  parse: (body: unknown) => ValidationResult<Request>,
+): Promise<ValidationResult<ValidatedRequest<Request>>> {
+  const body = await Bodies.readBody(exchange.request, deps.settings.maxBodyBytes);
   if (body.kind === 'fault') return body;
   const json = Bodies.parseJson(body.value);
   if (json.kind === 'fault') return json;
   const parsed = parse(json.value);
   if (parsed.kind === 'fault') return parsed;
   const request = parsed.value;
-  const configuration = front.configuration.getConfiguration();
+  const configuration = deps.configuration.getConfiguration();
   const model = findModel(configuration, exchange.organisation, request.model);
   if (model === undefined) {
     return { kind: 'fault', fault: Faults.createUnknownModel(request.model) };
@@ -74,7 +74,7 @@
   return { kind: 'value', value: { request, model } };
 }
 
-/** Seconds since 1970, for people; nothing is decided by it. */
-export function getCreatedSeconds(front: Front): number {
-  return Math.floor(Date.parse(front.context.clock.getWallTime()) / MS_PER_SECOND);
+/** Returns the Unix time in seconds, for display only; no decision depends on it. */
+export function getUnixSeconds(deps: HandlerDependencies): number {
+  return Math.floor(Date.parse(deps.context.clock.getWallTime()) / MS_PER_SECOND);
 }
--- a/packages/sequoiarill-plugin-callers/src/generationRun.ts
+++ b/packages/sequoiarill-plugin-callers/src/generationRun.ts
@@ -1,10 +1,10 @@
-/** A generation as it runs for one caller. */
+/** Types of a running generation. */
 import type { GenerationOutcome, TokenBatch } from '@sequoiarill/types';
 
 export type GenerationRun = AsyncGenerator<TokenBatch, GenerationOutcome, void>;
 export type GenerationStep = IteratorResult<TokenBatch, GenerationOutcome>;
 
-/** The caller left or cancelled before the run told its own end. */
+/** Outcome if the caller disconnects or cancels before the run reports its own outcome. */
 export const CANCELLED: GenerationOutcome = {
   kind: 'cancelled',
   usage: { promptTokens: 0, completionTokens: 0 },
--- a/packages/sequoiarill-plugin-callers/src/front.ts
+++ b/packages/sequoiarill-plugin-callers/src/httpServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP front: moleculer-web as a local service, over a server of our own. */
+/** HTTP server of the API: moleculer-web as a local service on a server created here. */
 import * as Http from 'node:http';
 import type { Socket } from 'node:net';
 
@@ -9,37 +9,37 @@
 import type { Dispatcher, RoutedRequest } from './dispatch';
 import * as Faults from './faults';
 import type { Fault } from './faults';
-import * as Generating from './generating';
+import * as GenerationRequests from './generationRequest';
 import * as Replies from './replies';
 import * as Routes from './routes';
 import type { CallersSettings } from './settings';
 
-export interface HttpFront {
-  /** Local moleculer service that routes requests. */
+export interface HttpServer {
+  /** Local moleculer service that routes the requests. */
   readonly service: ServiceSchema;
-  /** Rejects with an `AddressError` if the address cannot be taken. */
+  /** Rejects with an `AddressError` if the address cannot be bound. */
   readonly start: () => Promise<void>;
-  /** Closes connections without a request; others end with their request. */
+  /** Closes idle connections; the others close when their request ends. */
   readonly closeIdle: () => void;
   readonly stop: () => Promise<void>;
-  /** `IP:port` in use; empty before the start. */
+  /** Bound address as `IP:port`; empty before the start. */
   readonly getAddress: () => string;
   readonly getConnectionCount: () => number;
 }
 
 type RequestHandler = (request: RoutedRequest, response: Http.ServerResponse) => void;
 
-/** The parts of moleculer-web's service instance used here. */
+/** The members of moleculer-web's service instance that are used here. */
 interface GatewayInstance {
   readonly httpHandler: RequestHandler;
 }
 
-/** How often the time-outs of requests are looked at; Node.js's 30 s would add to each of them. */
-const CHECK_INTERVAL_MS = 1_000;
-const CLIENT_ERROR = 400;
-const SERVER_ERROR = 500;
+/** Interval of request timeout checks; the default of 30 s would delay each timeout by as much. */
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
+const MIN_CLIENT_ERROR_STATUS = 400;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Faults that Node.js finds before there is a request. */
+/** Errors that Node.js detects before it emits a request. */
 const FAULT_BY_PARSER_CODE: Readonly<Record<string, Fault>> = {
   ERR_HTTP_REQUEST_TIMEOUT: {
     status: 408,
@@ -54,12 +54,15 @@
     message: 'The request headers are too large.',
   },
 };
-const MALFORMED = Faults.createInvalid('malformed_request', 'This is not a valid HTTP request.');
+const MALFORMED_REQUEST_FAULT = Faults.createBadRequest(
+  'malformed_request',
+  'This is not a valid HTTP request.',
+);
 
-export function createHttpFront(settings: CallersSettings, dispatcher: Dispatcher): HttpFront {
-  let handleRouted: RequestHandler = (request, response) => {
+export function createHttpServer(settings: CallersSettings, dispatcher: Dispatcher): HttpServer {
+  let handleRequest: RequestHandler = (request, response) => {
     request.resume();
-    response.setHeader('x-request-id', Generating.createRequestId('req'));
+    response.setHeader('x-request-id', GenerationRequests.createRequestId('req'));
     Replies.sendFault(response, Faults.STARTING);
   };
   let connectionCount = 0;
@@ -69,10 +72,10 @@
       requestTimeout: settings.requestTimeoutMs,
       headersTimeout: settings.headersTimeoutMs,
       keepAliveTimeout: settings.keepAliveMs,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
     },
     (request, response) => {
-      if (guard.admitRequest(request, response)) handleRouted(request, response);
+      if (guard.admitRequest(request, response)) handleRequest(request, response);
     },
   );
   server.maxConnections = settings.maxConnections;
@@ -85,7 +88,7 @@
   });
 
   const service = createGatewayService(dispatcher, (handler) => {
-    handleRouted = handler;
+    handleRequest = handler;
   });
 
   return {
@@ -99,8 +102,8 @@
 }
 
 /**
- * moleculer-web reports neither an address in use nor the port it got, so it runs without a server
- * of its own and is handed the requests of ours.
+ * Creates the moleculer-web service without its own server, since that reports neither an address
+ * in use nor the bound port. It handles the requests of the server created here instead.
  */
 function createGatewayService(
   dispatcher: Dispatcher,
@@ -133,28 +136,28 @@
   };
 }
 
-/** What moleculer-web itself refuses: no such path, a path that cannot be decoded. */
+/** Handles errors of moleculer-web itself: an unknown path, or one that cannot be decoded. */
 function sendRoutingError(
   request: RoutedRequest,
   response: Http.ServerResponse,
   error: Readonly<{ code?: unknown }>,
 ): void {
   request.resume();
-  response.setHeader('x-request-id', Generating.createRequestId('req'));
+  response.setHeader('x-request-id', GenerationRequests.createRequestId('req'));
   const status = Number(error.code);
-  const isCallers = status >= CLIENT_ERROR && status < SERVER_ERROR;
+  const isClientError = status >= MIN_CLIENT_ERROR_STATUS && status < MIN_SERVER_ERROR_STATUS;
   if (status === Faults.UNKNOWN_PATH.status) Replies.sendFault(response, Faults.UNKNOWN_PATH);
-  else Replies.sendFault(response, isCallers ? MALFORMED : Faults.INTERNAL);
+  else Replies.sendFault(response, isClientError ? MALFORMED_REQUEST_FAULT : Faults.INTERNAL);
 }
 
 function formatRefusal(code: string): string {
-  const fault = FAULT_BY_PARSER_CODE[code] ?? MALFORMED;
+  const fault = FAULT_BY_PARSER_CODE[code] ?? MALFORMED_REQUEST_FAULT;
   const body = Faults.formatFault(fault);
   const head = [
     `HTTP/1.1 ${fault.status} ${Http.STATUS_CODES[fault.status] ?? ''}`,
     'content-type: application/json; charset=utf-8',
     `content-length: ${Buffer.byteLength(body)}`,
-    `x-request-id: ${Generating.createRequestId('req')}`,
+    `x-request-id: ${GenerationRequests.createRequestId('req')}`,
     'connection: close',
   ];
   return `${head.join('\r\n')}\r\n\r\n${body}`;
--- a/packages/sequoiarill-plugin-callers/src/index.ts
+++ b/packages/sequoiarill-plugin-callers/src/index.ts
@@ -1,4 +1,4 @@
-/** The API that callers use: responses, chat completions, services. */
+/** HTTP API for callers: responses, chat completions and plain services. */
 import * as Kernel from '@sequoiarill/kernel';
 
 import { plugin } from './plugin';
--- a/packages/sequoiarill-plugin-callers/src/liveResponse.ts
+++ b/packages/sequoiarill-plugin-callers/src/liveResponse.ts
@@ -1,4 +1,4 @@
-/** One response from its first token to its end, independent of the connections that read it. */
+/** A response from its first token to its end, independent of the connections that read it. */
 import type { GenerationOutcome, TokenBatch } from '@sequoiarill/types';
 
 import * as GenerationRuns from './generationRun';
@@ -15,11 +15,11 @@
   readonly log: ResponseLog;
   readonly getView: () => ResponseView;
   readonly getTokens: () => number;
-  /** Kept of it: events, text, instructions. */
+  /** Retained bytes of events, text and instructions. */
   readonly getBytes: () => number;
-  /** Stops the generation; the events that say so still follow. */
+  /** Stops the generation; the final events are still added to the log. */
   readonly cancel: () => void;
-  /** Resolves with the outcome, once the last event is in the log. */
+  /** Resolves with the outcome once the last event is in the log. */
   readonly ended: Promise<GenerationOutcome>;
 }
 
@@ -27,65 +27,65 @@
   readonly identity: ResponseIdentity;
   readonly organisation: string;
   readonly run: GenerationRun;
-  /** The step of `run` that was awaited before anything was written. */
+  /** First step of `run`, which was awaited before anything was written. */
   readonly firstStep: GenerationStep;
-  /** Its signal is the one `run` was started with. */
+  /** Controller of the signal that `run` was started with. */
   readonly controller: AbortController;
   readonly signSequence: (sequence: number) => string;
-  /** Events are kept for a streamed response only; without them there is nothing to resume. */
+  /** Events are stored for streamed responses only, so only these can be resumed. */
   readonly isStreamed: boolean;
-  /** Whether the generation may go on, or must wait for a reader. */
-  readonly hasRoom: (log: ResponseLog) => boolean;
-  readonly recordBytes: (change: number) => void;
-  /** Told of a generation that threw. */
-  readonly recordFault: (error: unknown) => void;
+  /** Whether the generation may continue; otherwise it waits for a reader. */
+  readonly hasCapacity: (log: ResponseLog) => boolean;
+  readonly recordSizeChange: (change: number) => void;
+  /** Called if the generation throws. */
+  readonly recordFailure: (error: unknown) => void;
 }
 
-const BROKEN: GenerationOutcome = {
+const INTERNAL_FAILURE: GenerationOutcome = {
   kind: 'lost',
-  message: 'The router met a fault of its own.',
+  message: 'The router hit an internal error.',
   usage: { promptTokens: 0, completionTokens: 0 },
   retryAfterSeconds: 1,
 };
 
 export function createLiveResponse(options: LiveResponseOptions): LiveResponse {
-  const { identity, controller, hasRoom, isStreamed, organisation } = options;
-  const { recordBytes, recordFault } = options;
+  const { identity, controller, hasCapacity, isStreamed, organisation } = options;
+  const { recordSizeChange, recordFailure } = options;
   const events = ResponseEvents.createResponseEvents(identity, options.signSequence);
-  const log = ResponseLogs.createResponseLog(recordBytes);
+  const log = ResponseLogs.createResponseLog(recordSizeChange);
   let text = '';
-  let ownBytes = 0;
+  let textBytes = 0;
   let tokens = 0;
   let outcome: GenerationOutcome | undefined;
 
-  function addOwnBytes(kept: string): void {
-    const bytes = Buffer.byteLength(kept);
-    ownBytes += bytes;
-    recordBytes(bytes);
+  function addTextBytes(retainedText: string): void {
+    const bytes = Buffer.byteLength(retainedText);
+    textBytes += bytes;
+    recordSizeChange(bytes);
   }
 
   function addBatch(batch: TokenBatch): void {
     tokens += batch.tokenCount;
     text += batch.text;
-    addOwnBytes(batch.text);
+    addTextBytes(batch.text);
     if (batch.text === '' || !isStreamed) return;
     log.addEvent(events.formatDelta(batch.text));
   }
 
   /**
-   * A reader that is far behind, or no reader while much is kept, holds the generation back: the
-   * engine is not read from, and memory stays bounded. Nothing unread is ever dropped instead,
-   * since that would be missing from the caller's answer.
+   * Pauses the generation while a reader is far behind, or while there is no reader and much is
+   * retained: nothing is read from the engine, so memory stays bounded. Unread events are never
+   * dropped instead, since they would be missing from the caller's answer.
    */
-  async function waitForRoom(): Promise<void> {
-    while (!controller.signal.aborted && !hasRoom(log)) await log.waitForReaders();
+  async function waitForCapacity(): Promise<void> {
+    while (!controller.signal.aborted && !hasCapacity(log)) await log.waitForReaders();
   }
 
   async function readSteps(run: GenerationRun, first: GenerationStep): Promise<GenerationOutcome> {
     let step = first;
     while (step.done !== true) {
       addBatch(step.value);
-      if (!hasRoom(log)) await waitForRoom();
+      if (!hasCapacity(log)) await waitForCapacity();
       const isCancelled = controller.signal.aborted;
       step = isCancelled ? await run.return(GenerationRuns.CANCELLED) : await run.next();
     }
@@ -93,21 +93,22 @@
   }
 
   /**
-   * A generation that throws is a fault of the program; without an end its readers would hang. The
-   * run is an argument, so that what it holds, the prompt above all, is free once it has ended.
+   * Turns an exception of the generation, which is a bug, into an outcome; without one its readers
+   * would hang. The run is passed as an argument so that its memory, mainly the prompt, can be
+   * freed once it has ended.
    */
   async function runToEnd(run: GenerationRun, first: GenerationStep): Promise<GenerationOutcome> {
     outcome = await readSteps(run, first).catch((error: unknown): GenerationOutcome => {
-      recordFault(error);
-      return BROKEN;
+      recordFailure(error);
+      return INTERNAL_FAILURE;
     });
     if (isStreamed) events.formatEnd(text, outcome).forEach(log.addEvent);
     log.close();
     return outcome;
   }
 
-  controller.signal.addEventListener('abort', log.wakeWaiting, { once: true });
-  addOwnBytes(identity.request.instructions ?? '');
+  controller.signal.addEventListener('abort', log.resumeWaiters, { once: true });
+  addTextBytes(identity.request.instructions ?? '');
   if (isStreamed) events.formatOpening().forEach(log.addEvent);
   return {
     identity,
@@ -117,7 +118,7 @@
     getView: () => (outcome === undefined ? { text } : { text, outcome }),
     getTokens: () => tokens,
     cancel: () => controller.abort(),
-    getBytes: () => log.getBytes() + ownBytes,
+    getBytes: () => log.getBytes() + textBytes,
     ended: runToEnd(options.run, options.firstStep),
   };
 }
--- a/packages/sequoiarill-plugin-callers/src/outcomes.ts
+++ b/packages/sequoiarill-plugin-callers/src/outcomes.ts
@@ -1,4 +1,4 @@
-/** What a caller is told of a generation that did not complete. */
+/** Maps the outcome of a generation that did not complete to an error response. */
 import type {
   GenerationCancelled,
   GenerationLost,
@@ -12,10 +12,10 @@
 export type GenerationFailure =
   GenerationNotRun | GenerationLost | GenerationRejected | GenerationCancelled;
 
-const TOO_MANY_REQUESTS = 429;
-const UNAVAILABLE = 503;
-/** What the field uses for a caller that left before its answer. */
-const CLIENT_CLOSED = 499;
+const HTTP_TOO_MANY_REQUESTS = 429;
+const HTTP_UNAVAILABLE = 503;
+/** Non-standard but common status for a client that disconnected before its answer. */
+const HTTP_CLIENT_CLOSED_REQUEST = 499;
 
 export function createFailureFault(outcome: GenerationFailure): Fault {
   switch (outcome.kind) {
@@ -23,17 +23,17 @@
       return createNotRunFault(outcome);
     case 'lost':
       return {
-        status: UNAVAILABLE,
+        status: HTTP_UNAVAILABLE,
         type: 'server_error',
         code: 'generation_lost',
         message: `${outcome.message} Come back in ${outcome.retryAfterSeconds} s.`,
         retryAfterSeconds: outcome.retryAfterSeconds,
       };
     case 'rejected':
-      return Faults.createInvalid('request_rejected', outcome.message, outcome.parameter);
+      return Faults.createBadRequest('request_rejected', outcome.message, outcome.parameter);
     default:
       return {
-        status: CLIENT_CLOSED,
+        status: HTTP_CLIENT_CLOSED_REQUEST,
         type: 'invalid_request_error',
         code: 'request_cancelled',
         message: 'The request was cancelled.',
@@ -42,11 +42,11 @@
 }
 
 function createNotRunFault(outcome: GenerationNotRun): Fault {
-  const isLimit = outcome.reason === 'organisationLimit';
+  const isRateLimited = outcome.reason === 'organisationLimit';
   return {
-    status: isLimit ? TOO_MANY_REQUESTS : UNAVAILABLE,
-    type: isLimit ? 'rate_limit_error' : 'server_error',
-    code: isLimit ? 'rate_limit_exceeded' : NOT_RUN_CODES[outcome.reason],
+    status: isRateLimited ? HTTP_TOO_MANY_REQUESTS : HTTP_UNAVAILABLE,
+    type: isRateLimited ? 'rate_limit_error' : 'server_error',
+    code: isRateLimited ? 'rate_limit_exceeded' : NOT_RUN_CODES[outcome.reason],
     message: `Not run: ${outcome.message} Come back in ${outcome.retryAfterSeconds} s.`,
     retryAfterSeconds: outcome.retryAfterSeconds,
   };
--- a/packages/sequoiarill-plugin-callers/src/plugin.ts
+++ b/packages/sequoiarill-plugin-callers/src/plugin.ts
@@ -1,18 +1,18 @@
-/** The plug-in `callers`: wires the HTTP front to generations, orders and configuration. */
+/** Plug-in `callers`: connects the HTTP server to generations, orders and configuration. */
 import type { Plugin, PluginContext, PluginInstance } from '@sequoiarill/types';
 
 import * as Cursors from './cursors';
 import * as Dispatch from './dispatch';
 import * as Events from './events';
-import type { Front } from './exchange';
-import * as Fronts from './front';
+import type { HandlerDependencies } from './exchange';
+import * as HttpServers from './httpServer';
 import * as ResponseStores from './responseStore';
 import { settingsSchema } from './settings';
 import type { CallersSettings } from './settings';
 
 function createInstance(context: PluginContext, settings: CallersSettings): PluginInstance {
   const store = ResponseStores.createResponseStore(settings, context.clock);
-  const front: Front = {
+  const deps: HandlerDependencies = {
     context,
     settings,
     configuration: context.getCapability('configuration'),
@@ -21,30 +21,30 @@
     store,
     cursors: Cursors.createCursorSigner(settings.cursorKey),
   };
-  const dispatcher = Dispatch.createDispatcher(front);
-  const http = Fronts.createHttpFront(settings, dispatcher);
+  const dispatcher = Dispatch.createDispatcher(deps);
+  const httpServer = HttpServers.createHttpServer(settings, dispatcher);
   return {
-    services: [http.service],
+    services: [httpServer.service],
     async start() {
-      await http.start();
-      context.logEvent(Events.LISTENING, { address: http.getAddress() });
+      await httpServer.start();
+      context.logEvent(Events.LISTENING, { address: httpServer.getAddress() });
     },
     async drain() {
       const drained = Promise.all([dispatcher.drain(), store.drain()]);
-      http.closeIdle();
+      httpServer.closeIdle();
       await drained;
-      // A caller may have come back for a response that ended meanwhile, and is still reading it.
+      // A caller may have reconnected meanwhile and may still be reading a response that has ended.
       await dispatcher.drain();
-      http.closeIdle();
+      httpServer.closeIdle();
       context.logEvent(Events.DRAINED, {});
     },
     async stop() {
       store.close();
-      await http.stop();
+      await httpServer.stop();
     },
     dumpState: () => ({
-      address: http.getAddress(),
-      openConnections: http.getConnectionCount(),
+      address: httpServer.getAddress(),
+      openConnections: httpServer.getConnectionCount(),
       requests: dispatcher.getStates(),
       isDraining: dispatcher.isDraining(),
       responses: store.getSize(),
--- a/packages/sequoiarill-plugin-callers/src/replies.ts
+++ b/packages/sequoiarill-plugin-callers/src/replies.ts
@@ -1,4 +1,4 @@
-/** Whole answers: JSON and errors. */
+/** Sends complete, non-streaming replies: JSON and errors. */
 import type { ServerResponse } from 'node:http';
 
 import * as Faults from './faults';
--- a/packages/sequoiarill-plugin-callers/src/requestSchema.ts
+++ b/packages/sequoiarill-plugin-callers/src/requestSchema.ts
@@ -1,11 +1,11 @@
-/** Parts that the schemas of chat completions and responses share. */
+/** Schema parts shared by chat completions and responses. */
 import type { ChatMessage } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
 import * as Faults from './faults';
-import type { Checked, Fault } from './faults';
+import type { ValidationResult, Fault } from './faults';
 
-/** What a request for generated text asks, whichever API it came by. */
+/** Text generation request, independent of the API it was sent to. */
 export interface TextRequest {
   readonly model: string;
   readonly messages: readonly ChatMessage[];
@@ -37,7 +37,7 @@
 
 export const roleSchema = Zod.enum(['system', 'developer', 'user', 'assistant']);
 
-/** Fields that both APIs take. */
+/** Fields accepted by both APIs. */
 export const sharedFields = {
   model: Zod.string().min(1),
   temperature: Zod.number().min(0).max(MAX_TEMPERATURE).nullish(),
@@ -49,55 +49,52 @@
     .nullish(),
   user: Zod.string().nullish(),
   store: Zod.boolean().nullish(),
-  // These say nothing about the answer.
+  // Accepted and ignored: they do not affect the answer.
   safety_identifier: Zod.string().nullish(),
   prompt_cache_key: Zod.string().nullish(),
   service_tier: Zod.enum(['auto', 'default']).nullish(),
 } as const;
 
-/**
- * Fields that would change the answer in ways that are not supported; they may be sent with the
- * one value that changes nothing.
- */
-export const neutralFields = {
+/** Unsupported fields, accepted only with the value that has no effect on the answer. */
+export const unsupportedFields = {
   tools: Zod.array(Zod.unknown()).max(0).nullish(),
   tool_choice: Zod.enum(['auto', 'none']).nullish(),
   parallel_tool_calls: Zod.boolean().nullish(),
   top_logprobs: Zod.literal(0).nullish(),
 } as const;
 
-export function parseRequest<Value>(
+export function parseRequestBody<Value>(
   schema: Zod.ZodType<Value>,
-  neutralNames: ReadonlySet<string>,
+  unsupportedNames: ReadonlySet<string>,
   body: unknown,
-): Checked<Value> {
+): ValidationResult<Value> {
   const result = schema.safeParse(body);
   if (result.success) return { kind: 'value', value: result.data };
   const [issue] = result.error.issues;
-  return { kind: 'fault', fault: createIssueFault(issue, neutralNames) };
+  return { kind: 'fault', fault: createIssueFault(issue, unsupportedNames) };
 }
 
 function createIssueFault(
   issue: Zod.core.$ZodIssue | undefined,
-  neutralNames: ReadonlySet<string>,
+  unsupportedNames: ReadonlySet<string>,
 ): Fault {
-  if (issue === undefined) return Faults.createInvalid('invalid_value', 'The body is not valid.');
+  if (issue === undefined) return Faults.createBadRequest('invalid_value', 'The body is invalid.');
   if (issue.code === 'unrecognized_keys') {
-    return createUnsupported(formatPath([...issue.path, issue.keys[0] ?? '']));
+    return createUnsupportedParameter(formatPath([...issue.path, issue.keys[0] ?? '']));
   }
   const param = formatPath(issue.path);
-  if (neutralNames.has(String(issue.path[0]))) return createUnsupported(param);
+  if (unsupportedNames.has(String(issue.path[0]))) return createUnsupportedParameter(param);
   const name = param === '' ? 'The request body' : `"${param}"`;
   const message = `${name} is not valid: ${issue.message}.`;
-  return Faults.createInvalid('invalid_value', message, param === '' ? undefined : param);
+  return Faults.createBadRequest('invalid_value', message, param === '' ? undefined : param);
 }
 
-function createUnsupported(param: string): Fault {
+function createUnsupportedParameter(param: string): Fault {
   const message = `"${param}" is not supported here; remove it.`;
-  return Faults.createInvalid('unsupported_parameter', message, param);
+  return Faults.createBadRequest('unsupported_parameter', message, param);
 }
 
-/** As in `messages[0].content`. */
+/** Formats a path as in `messages[0].content`. */
 function formatPath(path: readonly PropertyKey[]): string {
   return path
     .map((part) => (typeof part === 'number' ? `[${part}]` : `.${String(part)}`))
--- a/packages/sequoiarill-plugin-callers/src/requestStates.ts
+++ b/packages/sequoiarill-plugin-callers/src/requestStateTracker.ts
@@ -1,25 +1,25 @@
-/** What the open requests wait for, for the state dump. */
+/** Counts open requests by what they are waiting for, for the state dump. */
 
 /**
- * `waiting`: for its answer or first token. `sending`: for the next token. `blocked`: for the caller
- * to read.
+ * `waiting`: waits for the answer or the first token. `sending`: waits for the next token.
+ * `blocked`: waits for the caller to read.
  */
 export type RequestState = 'waiting' | 'sending' | 'blocked';
 
-export interface RequestEntry {
+export interface TrackedRequest {
   readonly setState: (state: RequestState) => void;
   readonly close: () => void;
 }
 
-export interface RequestStates {
-  readonly openEntry: () => RequestEntry;
+export interface RequestStateTracker {
+  readonly addRequest: () => TrackedRequest;
   readonly getCounts: () => Readonly<Record<RequestState, number>>;
 }
 
-export function createRequestStates(): RequestStates {
+export function createRequestStateTracker(): RequestStateTracker {
   const counts: Record<RequestState, number> = { waiting: 0, sending: 0, blocked: 0 };
   return {
-    openEntry() {
+    addRequest() {
       let current: RequestState = 'waiting';
       counts[current] += 1;
       return {
--- a/packages/sequoiarill-plugin-callers/src/responseEvents.ts
+++ b/packages/sequoiarill-plugin-callers/src/responseEvents.ts
@@ -1,4 +1,4 @@
-/** Response objects and stream events in the published form. */
+/** Formats response objects and stream events as published. */
 import type { GenerationOutcome, Usage } from '@sequoiarill/types';
 
 import type { ResponseErrorCode } from './faultCodes';
@@ -7,7 +7,7 @@
 
 export type ResponseStatus = 'in_progress' | 'completed' | 'incomplete' | 'failed' | 'cancelled';
 
-/** What a response object shows besides its text. */
+/** Everything that a response object shows besides its text and outcome. */
 export interface ResponseIdentity {
   readonly id: string;
   readonly itemId: string;
@@ -16,17 +16,17 @@
   readonly request: ResponsesRequest;
 }
 
-/** A response as it stands. */
+/** The current text of a response, and its outcome once it has ended. */
 export interface ResponseView {
   readonly text: string;
   readonly outcome?: GenerationOutcome;
 }
 
 export interface ResponseEvents {
-  /** `response.created` to `response.content_part.added`, in order. */
+  /** Events from `response.created` to `response.content_part.added`, in order. */
   readonly formatOpening: () => readonly string[];
   readonly formatDelta: (text: string) => string;
-  /** Those that close item and response, in order. */
+  /** Events that end the item and the response, in order. */
   readonly formatEnd: (text: string, outcome: GenerationOutcome) => readonly string[];
 }
 
@@ -87,7 +87,7 @@
   return outcome !== undefined && 'usage' in outcome ? outcome.usage : undefined;
 }
 
-/** The response object of `GET /v1/responses/{id}` and of the events that carry it. */
+/** Builds the response object of `GET /v1/responses/{id}` and of events that include it. */
 export function buildResponse(
   identity: ResponseIdentity,
   view: ResponseView,
@@ -124,23 +124,23 @@
   };
 }
 
-const END_TYPES = {
+const END_EVENT_TYPES = {
   in_progress: 'response.in_progress',
   completed: 'response.completed',
   incomplete: 'response.incomplete',
   failed: 'response.failed',
-  // The published API has no event of its own for it; the object says `cancelled`.
+  // The published API has no event type for cancellation; the object has the status `cancelled`.
   cancelled: 'response.incomplete',
 } as const;
 
-/** Events of one response; what is the same in all deltas is encoded once. */
+/** Formats the events of one response; fields common to all deltas are encoded only once. */
 export function createResponseEvents(
   identity: ResponseIdentity,
   signSequence: (sequence: number) => string,
 ): ResponseEvents {
-  const place = `"item_id":${JSON.stringify(identity.itemId)},"output_index":0,"content_index":0`;
+  const contentFields = `"item_id":${JSON.stringify(identity.itemId)},"output_index":0,"content_index":0`;
   const deltaType = 'response.output_text.delta';
-  const deltaStart = `\ndata: {"type":"${deltaType}",${place},"delta":`;
+  const deltaStart = `\ndata: {"type":"${deltaType}",${contentFields},"delta":`;
   let sequence = 0;
 
   function formatEvent(type: string, fields: string): string {
@@ -158,10 +158,10 @@
   function formatItemEnd(text: string, status: ResponseStatus): readonly string[] {
     const part = JSON.stringify(buildPart(text));
     const item = JSON.stringify(buildItem(identity, status, [buildPart(text)]));
-    const textFields = `${place},"text":${JSON.stringify(text)},"logprobs":[]`;
+    const textFields = `${contentFields},"text":${JSON.stringify(text)},"logprobs":[]`;
     return [
       formatEvent('response.output_text.done', textFields),
-      formatEvent('response.content_part.done', `${place},"part":${part}`),
+      formatEvent('response.content_part.done', `${contentFields},"part":${part}`),
       formatEvent('response.output_item.done', `"output_index":0,"item":${item}`),
     ];
   }
@@ -174,7 +174,7 @@
         formatResponseEvent('response.created', { text: '' }),
         formatResponseEvent('response.in_progress', { text: '' }),
         formatEvent('response.output_item.added', `"output_index":0,"item":${item}`),
-        formatEvent('response.content_part.added', `${place},"part":${part}`),
+        formatEvent('response.content_part.added', `${contentFields},"part":${part}`),
       ];
     },
     formatDelta(text) {
@@ -185,9 +185,9 @@
     },
     formatEnd(text, outcome) {
       const status = getStatus(outcome);
-      const isWhole = outcome.kind === 'completed';
-      const itemEnd = isWhole ? formatItemEnd(text, status) : [];
-      return [...itemEnd, formatResponseEvent(END_TYPES[status], { text, outcome })];
+      const isCompleted = outcome.kind === 'completed';
+      const itemEnd = isCompleted ? formatItemEnd(text, status) : [];
+      return [...itemEnd, formatResponseEvent(END_EVENT_TYPES[status], { text, outcome })];
     },
   };
 }
--- a/packages/sequoiarill-plugin-callers/src/responseLog.ts
+++ b/packages/sequoiarill-plugin-callers/src/responseLog.ts
@@ -1,93 +1,96 @@
 /**
- * The events of one response, kept in memory so that several readers can follow and resume them.
- * Event numbers rise by one from 0 and never change.
+ * In-memory log of the events of one response; several readers can follow and resume it. Events
+ * are numbered consecutively from 0, and their numbers never change.
  */
-import * as Notices from './notices';
+import * as Notifiers from './notifier';
 
-/** Follows the log from one event on, at the pace of its caller. */
+/** Reads the log from a given event on, at the pace of the caller that it serves. */
 export interface LogReader {
-  /** Next events in one piece; empty when there is none yet. */
-  readonly takeEvents: () => string;
+  /** Returns the next events concatenated; empty if there are none yet. */
+  readonly readNextEvents: () => string;
   readonly hasEnded: () => boolean;
-  /** Resolves when events were added or the log was closed. */
+  /** Resolves when events are added or the log is closed. */
   readonly waitForMore: () => Promise<void>;
   readonly close: () => void;
 }
 
 export interface ResponseLog {
   readonly addEvent: (event: string) => void;
-  /** No event comes after this. */
+  /** Marks the log as complete; no event follows. */
   readonly close: () => void;
   readonly isClosed: () => boolean;
   readonly openReader: (fromSequence: number) => LogReader;
   readonly getReaderCount: () => number;
-  /** Number the next event will get. */
+  /** Sequence number of the next event to be added. */
   readonly getNextSequence: () => number;
-  /** Oldest event still kept. */
+  /** Sequence number of the oldest event still retained. */
   readonly getFirstSequence: () => number;
   readonly getBytes: () => number;
-  /** Bytes that the slowest reader has still to take; everything kept if there is no reader. */
+  /** Bytes that the slowest reader has not read; all retained bytes if there is no reader. */
   readonly getBacklogBytes: () => number;
-  /** Drops the oldest events that every reader has taken; none while there is no reader. */
-  readonly removeTaken: (keepBytes: number) => void;
-  /** Resolves when a reader took events, came or left. */
+  /**
+   * Drops the oldest events that every reader has read, until `keepBytes` remain; drops none while
+   * there is no reader.
+   */
+  readonly removeReadEvents: (keepBytes: number) => void;
+  /** Resolves when a reader reads events, opens or closes. */
   readonly waitForReaders: () => Promise<void>;
-  /** Wakes whoever waits, so that it looks at its own reasons to stop. */
-  readonly wakeWaiting: () => void;
+  /** Wakes all waiting tasks so that they check their own stop conditions. */
+  readonly resumeWaiters: () => void;
 }
 
-interface Place {
+interface LogPosition {
   sequence: number;
-  /** Bytes of the whole log before `sequence`. */
+  /** Bytes of all events before `sequence`, including dropped ones. */
   offset: number;
 }
 
-/** One write of a reader that catches up; keeps a long replay from being copied in one piece. */
-const MAX_TAKE_BYTES = 65_536;
+/** Limits one read of a reader that catches up, so that a long replay is not copied at once. */
+const MAX_READ_BYTES = 65_536;
 
-/** `recordBytes` is told each change of the bytes kept. */
-export function createResponseLog(recordBytes: (change: number) => void): ResponseLog {
-  const added = Notices.createNotice();
-  const taken = Notices.createNotice();
-  const places = new Set<Place>();
+/** `recordSizeChange` receives each change of the retained bytes. */
+export function createResponseLog(recordSizeChange: (change: number) => void): ResponseLog {
+  const eventsAdded = Notifiers.createNotifier();
+  const readersChanged = Notifiers.createNotifier();
+  const readerPositions = new Set<LogPosition>();
   let events: string[] = [];
-  let first: Place = { sequence: 0, offset: 0 };
+  let firstKept: LogPosition = { sequence: 0, offset: 0 };
   let endOffset = 0;
   let isClosed = false;
 
   function getNextSequence(): number {
-    return first.sequence + events.length;
+    return firstKept.sequence + events.length;
   }
 
-  function getSlowest(): Place {
-    let slowest: Place | undefined;
-    for (const place of places) {
-      if (slowest === undefined || place.sequence < slowest.sequence) slowest = place;
+  function getSlowestPosition(): LogPosition {
+    let slowest: LogPosition | undefined;
+    for (const position of readerPositions) {
+      if (slowest === undefined || position.sequence < slowest.sequence) slowest = position;
     }
-    return slowest ?? first;
+    return slowest ?? firstKept;
   }
 
-  function createReader(start: Readonly<Place>): LogReader {
-    const place: Place = { ...start };
-    places.add(place);
-    taken.sendNotice();
+  function createReader(start: Readonly<LogPosition>): LogReader {
+    const position: LogPosition = { ...start };
+    readerPositions.add(position);
+    readersChanged.sendNotification();
     return {
-      takeEvents() {
+      readNextEvents() {
         let text = '';
-        while (place.sequence < getNextSequence() && text.length < MAX_TAKE_BYTES) {
-          const event = events[place.sequence - first.sequence] ?? '';
+        while (position.sequence < getNextSequence() && text.length < MAX_READ_BYTES) {
+          const event = events[position.sequence - firstKept.sequence] ?? '';
           text += event;
-          place.sequence += 1;
-          place.offset += Buffer.byteLength(event);
+          position.sequence += 1;
+          position.offset += Buffer.byteLength(event);
         }
-        if (text !== '') taken.sendNotice();
+        if (text !== '') readersChanged.sendNotification();
         return text;
       },
-      hasEnded: () => isClosed && place.sequence === getNextSequence(),
-      waitForMore: added.waitNotice,
+      hasEnded: () => isClosed && position.sequence === getNextSequence(),
+      waitForMore: eventsAdded.waitForNotification,
       close() {
-        places.delete(place);
-        taken.sendNotice();
+        readerPositions.delete(position);
+        readersChanged.sendNotification();
       },
     };
   }
@@ -97,39 +100,39 @@
       events.push(event);
       const bytes = Buffer.byteLength(event);
       endOffset += bytes;
-      recordBytes(bytes);
-      added.sendNotice();
+      recordSizeChange(bytes);
+      eventsAdded.sendNotification();
     },
     close() {
       isClosed = true;
-      added.sendNotice();
+      eventsAdded.sendNotification();
     },
     isClosed: () => isClosed,
     openReader(fromSequence) {
-      const skipped = events.slice(0, fromSequence - first.sequence);
+      const skipped = events.slice(0, fromSequence - firstKept.sequence);
       const bytes = skipped.reduce((sum, event) => sum + Buffer.byteLength(event), 0);
-      return createReader({ sequence: fromSequence, offset: first.offset + bytes });
+      return createReader({ sequence: fromSequence, offset: firstKept.offset + bytes });
     },
-    getReaderCount: () => places.size,
+    getReaderCount: () => readerPositions.size,
     getNextSequence,
-    getFirstSequence: () => first.sequence,
-    getBytes: () => endOffset - first.offset,
-    getBacklogBytes: () => endOffset - getSlowest().offset,
-    removeTaken(keepBytes) {
-      const end = getSlowest();
-      let { sequence, offset } = first;
+    getFirstSequence: () => firstKept.sequence,
+    getBytes: () => endOffset - firstKept.offset,
+    getBacklogBytes: () => endOffset - getSlowestPosition().offset,
+    removeReadEvents(keepBytes) {
+      const end = getSlowestPosition();
+      let { sequence, offset } = firstKept;
       while (sequence < end.sequence && endOffset - offset > keepBytes) {
-        offset += Buffer.byteLength(events[sequence - first.sequence] ?? '');
+        offset += Buffer.byteLength(events[sequence - firstKept.sequence] ?? '');
         sequence += 1;
       }
-      events = events.slice(sequence - first.sequence);
-      recordBytes(first.offset - offset);
-      first = { sequence, offset };
+      events = events.slice(sequence - firstKept.sequence);
+      recordSizeChange(firstKept.offset - offset);
+      firstKept = { sequence, offset };
     },
-    waitForReaders: taken.waitNotice,
-    wakeWaiting() {
-      added.sendNotice();
-      taken.sendNotice();
+    waitForReaders: readersChanged.waitForNotification,
+    resumeWaiters() {
+      eventsAdded.sendNotification();
+      readersChanged.sendNotification();
     },
   };
 }
--- a/packages/sequoiarill-plugin-callers/src/responseStore.ts
+++ b/packages/sequoiarill-plugin-callers/src/responseStore.ts
@@ -1,4 +1,4 @@
-/** Responses that can be read, resumed and cancelled: those running and those ended lately. */
+/** Stores running and recently ended responses, which can be read, resumed and cancelled. */
 import { setMaxListeners } from 'node:events';
 
 import type { Clock } from '@sequoiarill/types';
@@ -8,42 +8,42 @@
 import type { CallersSettings } from './settings';
 
 export interface ResponseStore {
-  /** Keeps a response until `retainMs` after its end. */
+  /** Stores a response until `retainMs` after its end. */
   readonly addResponse: (live: LiveResponse) => void;
-  /** Only with the organisation it belongs to; for any other it does not exist. */
+  /** Returns a response only to the organisation it belongs to. */
   readonly findResponse: (id: string, organisation: string) => LiveResponse | undefined;
-  /** Whether the generation behind a log may go on. */
-  readonly hasRoom: (log: ResponseLog) => boolean;
-  /** Told by each log how its size changes. */
-  readonly recordBytes: (change: number) => void;
-  /** Called when a reader left; without another one, `cancelLater` runs after the grace. */
-  readonly handleReaderLeft: (live: LiveResponse, cancelLater: () => void) => void;
+  /** Whether the generation that fills the log may continue. */
+  readonly hasCapacity: (log: ResponseLog) => boolean;
+  /** Receives each size change of a response. */
+  readonly recordSizeChange: (change: number) => void;
+  /** Called when a reader closes; calls `cancelAbandoned` if no reader opens in time. */
+  readonly handleReaderClosed: (live: LiveResponse, cancelAbandoned: () => void) => void;
   readonly getSize: () => StoreSize;
-  /** Resolves when no response runs any more, read or not. */
+  /** Resolves when no response is running, with or without readers. */
   readonly drain: () => Promise<void>;
-  /** Cancels what runs and forgets what ended. */
+  /** Cancels running responses and removes ended ones. */
   readonly close: () => void;
 }
 
 export interface StoreSize {
   readonly running: number;
-  /** Running without a reader: waiting for their caller to come back. */
+  /** Running without a reader, waiting for their caller to reconnect. */
   readonly unread: number;
   readonly ended: number;
   readonly bytes: number;
 }
 
-/** A reader may be this far behind before the generation waits for it. */
+/** A generation pauses while its slowest reader is further behind than this. */
 const MAX_BACKLOG_BYTES = 262_144;
-/** Dropping a quarter at a time keeps the cost of dropping off most events. */
-const KEEP_SHARE = 0.75;
+/** Share kept when events are dropped; dropping a quarter at once makes drops infrequent. */
+const KEPT_SHARE = 0.75;
 
 export function createResponseStore(settings: CallersSettings, clock: Clock): ResponseStore {
   const running = new Map<string, LiveResponse>();
-  /** Oldest end first. */
+  /** Ordered by end time, oldest first. */
   const ended = new Map<string, LiveResponse>();
   const closing = new AbortController();
-  // Every response that is kept waits for it.
+  // Lifts the limit on listeners, since every retained response adds one.
   setMaxListeners(0, closing.signal);
 
   let bytes = 0;
@@ -52,37 +52,40 @@
     if (ended.delete(live.identity.id)) bytes -= live.getBytes();
   }
 
-  function computeUnread(): number {
+  function countUnread(): number {
     const all = [...running.values()];
     return all.filter((live) => live.isStreamed && live.log.getReaderCount() === 0).length;
   }
 
-  /** Ended responses go first, oldest first, unless somebody reads them right now. */
-  function removeEnded(): void {
+  /** Removes ended responses without a reader, oldest first, until the store is below its limit. */
+  function removeEndedOverLimit(): void {
     for (const live of ended.values()) {
       if (bytes <= settings.maxRetainedBytes) return;
       if (live.log.getReaderCount() === 0) removeResponse(live);
     }
   }
 
-  /** With a reader, what it has taken may be dropped; without one, nothing may. */
-  function hasRoom(log: ResponseLog): boolean {
-    if (bytes > settings.maxRetainedBytes) removeEnded();
-    const isFull = bytes > settings.maxRetainedBytes;
-    const isLong = log.getBytes() > settings.maxResponseBytes;
-    if (log.getReaderCount() === 0) return !isFull && !isLong;
+  /**
+   * Whether the generation may continue. With a reader, makes room by dropping events that all
+   * readers have read; without one, no event may be dropped.
+   */
+  function hasCapacity(log: ResponseLog): boolean {
+    if (bytes > settings.maxRetainedBytes) removeEndedOverLimit();
+    const isStoreFull = bytes > settings.maxRetainedBytes;
+    const isResponseOverLimit = log.getBytes() > settings.maxResponseBytes;
+    if (log.getReaderCount() === 0) return !isStoreFull && !isResponseOverLimit;
     if (log.getBacklogBytes() > MAX_BACKLOG_BYTES) return false;
-    if (isFull) log.removeTaken(0);
-    else if (isLong) log.removeTaken(settings.maxResponseBytes * KEEP_SHARE);
+    if (isStoreFull) log.removeReadEvents(0);
+    else if (isResponseOverLimit) log.removeReadEvents(settings.maxResponseBytes * KEPT_SHARE);
     return true;
   }
 
-  async function removeLater(live: LiveResponse): Promise<void> {
+  async function removeAfterRetention(live: LiveResponse): Promise<void> {
     await live.ended;
     const { id } = live.identity;
     running.delete(id);
     ended.set(id, live);
-    if (bytes > settings.maxRetainedBytes) removeEnded();
+    if (bytes > settings.maxRetainedBytes) removeEndedOverLimit();
     const retainMs = live.identity.request.store ? settings.retainMs : 0;
     await clock.waitMs(retainMs, closing.signal);
     removeResponse(live);
@@ -91,28 +94,28 @@
   return {
     addResponse(live) {
       running.set(live.identity.id, live);
-      // Never rejects: a run's outcomes are values, and the clock ends early without an error.
-      removeLater(live).catch(() => running.delete(live.identity.id));
+      // Not expected to reject: outcomes are values, and an aborted `waitMs` resolves.
+      removeAfterRetention(live).catch(() => running.delete(live.identity.id));
     },
     findResponse(id, organisation) {
       const live = running.get(id) ?? ended.get(id);
       return live?.organisation === organisation ? live : undefined;
     },
-    hasRoom,
-    recordBytes(change) {
+    hasCapacity,
+    recordSizeChange(change) {
       bytes += change;
     },
-    handleReaderLeft(live, cancelLater) {
+    handleReaderClosed(live, cancelAbandoned) {
       if (live.log.getReaderCount() > 0 || live.log.isClosed()) return;
       const { resumeGraceMs } = settings;
       const graceMs = live.identity.request.store ? resumeGraceMs : 0;
-      waitForReturn(live, graceMs, closing.signal, clock)
-        .then((hasReturned) => {
-          if (!hasReturned) cancelLater();
+      waitForReader(live, graceMs, closing.signal, clock)
+        .then((isStillNeeded) => {
+          if (!isStillNeeded) cancelAbandoned();
         })
-        .catch(cancelLater);
+        .catch(cancelAbandoned);
     },
-    getSize: () => ({ running: running.size, unread: computeUnread(), ended: ended.size, bytes }),
+    getSize: () => ({ running: running.size, unread: countUnread(), ended: ended.size, bytes }),
     async drain() {
       while (running.size > 0) await [...running.values()][0]?.ended;
     },
@@ -123,8 +126,8 @@
   };
 }
 
-/** Whether the response needs no cancelling after all: a reader came back, or it ended. */
-async function waitForReturn(
+/** Resolves with false if no reader opens in time, with true if one does or no cancel is needed. */
+async function waitForReader(
   live: LiveResponse,
   graceMs: number,
   closing: AbortSignal,
@@ -135,11 +138,11 @@
   while (log.getReaderCount() === 0 && !log.isClosed() && !closing.aborted) {
     const remainingMs = deadlineMs - clock.getNowMs();
     if (remainingMs <= 0) return false;
-    const woken = new AbortController();
-    const onClosing = (): void => woken.abort();
+    const timer = new AbortController();
+    const onClosing = (): void => timer.abort();
     closing.addEventListener('abort', onClosing, { once: true });
-    await Promise.race([log.waitForReaders(), clock.waitMs(remainingMs, woken.signal)]);
-    woken.abort();
+    await Promise.race([log.waitForReaders(), clock.waitMs(remainingMs, timer.signal)]);
+    timer.abort();
     closing.removeEventListener('abort', onClosing);
   }
   return true;
--- a/packages/sequoiarill-plugin-callers/src/responses.ts
+++ b/packages/sequoiarill-plugin-callers/src/responses.ts
@@ -1,9 +1,9 @@
-/** `POST /v1/responses`, and reading, resuming and cancelling a response. */
+/** Responses API: creates, reads, resumes and cancels responses. */
 import * as EventStreams from './eventStream';
 import * as Events from './events';
-import type { Exchange, Front } from './exchange';
+import type { Exchange, HandlerDependencies } from './exchange';
 import * as Faults from './faults';
-import * as Generating from './generating';
+import * as GenerationRequests from './generationRequest';
 import type { GenerationRun, GenerationStep } from './generationRun';
 import * as LiveResponses from './liveResponse';
 import type { LiveResponse } from './liveResponse';
@@ -15,62 +15,75 @@
 import type { LogReader } from './responseLog';
 import * as ResponsesSchema from './responsesSchema';
 import type { ResponsesRequest } from './responsesSchema';
-import * as Resuming from './resuming';
+import * as ResumePositions from './resumePosition';
 
 const HTTP_OK = 200;
 
-export async function handleCreateResponse(front: Front, exchange: Exchange): Promise<void> {
-  const checked = await Generating.readRequest(
-    front,
+export async function handleCreateResponse(
+  deps: HandlerDependencies,
+  exchange: Exchange,
+): Promise<void> {
+  const checked = await GenerationRequests.readRequest(
+    deps,
     exchange,
     ResponsesSchema.parseResponsesRequest,
   );
   if (checked.kind === 'fault') {
-    Refusals.refuseRequest(front, exchange, checked.fault);
+    Refusals.refuseRequest(deps, exchange, checked.fault);
     return;
   }
   const { request, model } = checked.value;
   const { requestId, organisation, closed } = exchange;
-  front.context.journal.recordDecision(requestId, 'accepted', 'response', {
+  deps.context.journal.recordDecision(requestId, 'accepted', 'response', {
     organisation: organisation.name,
     model: request.model,
     stream: request.stream,
   });
   const controller = new AbortController();
   const { signal } = controller;
-  const generation = Generating.buildGeneration(requestId, request, model, organisation, signal);
-  const run = front.generations.runGeneration(generation);
-  // Until the first token the caller knows no id to come back with, so leaving cancels at once.
+  const generation = GenerationRequests.buildGenerationRequest(
+    requestId,
+    request,
+    model,
+    organisation,
+    signal,
+  );
+  const run = deps.generations.runGeneration(generation);
+  // Before the first token the caller has no id to resume with, so a disconnect cancels at once.
   const onClosed = (): void => controller.abort();
   if (closed.aborted) onClosed();
   closed.addEventListener('abort', onClosed, { once: true });
   const firstStep = await run.next();
   if (firstStep.done === true && firstStep.value.kind !== 'completed') {
-    Refusals.refuseFailure(front, exchange, firstStep.value);
+    Refusals.refuseFailedGeneration(deps, exchange, firstStep.value);
     return;
   }
-  const live = startResponse(front, exchange, request, run, firstStep, controller);
+  const live = startResponse(deps, exchange, request, run, firstStep, controller);
   if (request.stream) {
     closed.removeEventListener('abort', onClosed);
     EventStreams.startEventStream(exchange);
-    await relayResponse(front, exchange, live, live.log.openReader(0));
+    await relayResponse(deps, exchange, live, live.log.openReader(0));
   } else {
-    await sendWhole(front, exchange, live);
+    await sendFullAnswer(deps, exchange, live);
   }
 }
 
-/** A caller that asked for one piece gets a whole answer, or none. */
-async function sendWhole(front: Front, exchange: Exchange, live: LiveResponse): Promise<void> {
+/** Sends a non-streaming answer once it is complete; a caller never gets part of one. */
+async function sendFullAnswer(
+  deps: HandlerDependencies,
+  exchange: Exchange,
+  live: LiveResponse,
+): Promise<void> {
   const outcome = await live.ended;
   if (outcome.kind === 'completed' || outcome.kind === 'cancelled') {
     Replies.sendJson(exchange.response, HTTP_OK, formatResponse(live));
   } else {
-    Refusals.refuseFailure(front, exchange, outcome);
+    Refusals.refuseFailedGeneration(deps, exchange, outcome);
   }
 }
 
 function startResponse(
-  front: Front,
+  deps: HandlerDependencies,
   exchange: Exchange,
   request: ResponsesRequest,
   run: GenerationRun,
@@ -82,8 +95,8 @@
   const identity: ResponseIdentity = {
     id: requestId,
     itemId: requestId.replace(/^resp/, 'msg'),
-    createdAt: Generating.getCreatedSeconds(front),
-    // A kept response shows no prompt, and a kept prompt could be as large as a body.
+    createdAt: GenerationRequests.getUnixSeconds(deps),
+    // A retained response does not show its prompt, which can be as large as a request body.
     request: { ...request, messages: [] },
   };
   const live = LiveResponses.createLiveResponse({
@@ -93,22 +106,22 @@
     firstStep,
     controller,
     isStreamed: request.stream,
-    signSequence: (sequence) => front.cursors.signCursor({ requestId, organisation, sequence }),
-    hasRoom: request.stream ? front.store.hasRoom : () => true,
-    recordBytes: front.store.recordBytes,
-    recordFault: (error) =>
-      front.context.logEvent(Events.HANDLER_FAILED, {
+    signSequence: (sequence) => deps.cursors.signCursor({ requestId, organisation, sequence }),
+    hasCapacity: request.stream ? deps.store.hasCapacity : () => true,
+    recordSizeChange: deps.store.recordSizeChange,
+    recordFailure: (error) =>
+      deps.context.logEvent(Events.HANDLER_FAILED, {
         requestId,
         stack: Faults.formatStack(error),
       }),
   });
-  front.store.addResponse(live);
-  recordEnd(front, live).catch(() => undefined);
+  deps.store.addResponse(live);
+  recordEnd(deps, live).catch(() => undefined);
   return live;
 }
 
-async function recordEnd(front: Front, live: LiveResponse): Promise<void> {
-  const { journal, logEvent, metrics } = front.context;
+async function recordEnd(deps: HandlerDependencies, live: LiveResponse): Promise<void> {
+  const { journal, logEvent, metrics } = deps.context;
   const outcome = await live.ended;
   const { id } = live.identity;
   const details = { organisation: live.organisation, tokens: live.getTokens() };
@@ -123,65 +136,81 @@
   return JSON.stringify(ResponseEvents.buildResponse(live.identity, live.getView()));
 }
 
-/** Writes the events of a response to one caller, until the end or until the caller leaves. */
+/** Writes the events of a response to one caller, until it ends or the caller disconnects. */
 export async function relayResponse(
-  front: Front,
+  deps: HandlerDependencies,
   exchange: Exchange,
   live: LiveResponse,
   reader: LogReader,
 ): Promise<void> {
   const { response, closed } = exchange;
-  closed.addEventListener('abort', live.log.wakeWaiting, { once: true });
+  closed.addEventListener('abort', live.log.resumeWaiters, { once: true });
   while (!response.destroyed && !reader.hasEnded()) {
-    const events = reader.takeEvents();
+    const events = reader.readNextEvents();
     if (events === '') await reader.waitForMore();
     else if (!response.write(events)) {
-      await EventStreams.waitDrain(exchange, front.context.clock, front.settings.writeTimeoutMs);
+      await EventStreams.waitForDrain(exchange, deps.context.clock, deps.settings.writeTimeoutMs);
     }
   }
   reader.close();
   if (!response.destroyed) response.end();
-  front.store.handleReaderLeft(live, () => cancelAbandoned(front, live));
+  deps.store.handleReaderClosed(live, () => cancelAbandoned(deps, live));
 }
 
-function cancelAbandoned(front: Front, live: LiveResponse): void {
-  const { journal, logEvent } = front.context;
+function cancelAbandoned(deps: HandlerDependencies, live: LiveResponse): void {
+  const { journal, logEvent } = deps.context;
   const details = { organisation: live.organisation, tokens: live.getTokens() };
-  journal.recordDecision(live.identity.id, 'cancelled', 'the caller did not come back', details);
+  journal.recordDecision(
+    live.identity.id,
+    'cancelled',
+    'the caller did not reconnect in time',
+    details,
+  );
   logEvent(Events.ANSWER_ABANDONED, { requestId: live.identity.id, ...details });
   live.cancel();
 }
 
-/** `GET /v1/responses/{id}`, whole or as the rest of its stream. */
-export async function handleReadResponse(front: Front, exchange: Exchange): Promise<void> {
-  const live = findResponse(front, exchange);
+/** `GET /v1/responses/{id}`: sends the response object or the rest of its stream. */
+export async function handleReadResponse(
+  deps: HandlerDependencies,
+  exchange: Exchange,
+): Promise<void> {
+  const live = findResponse(deps, exchange);
   if (live === undefined) return;
   if (exchange.query.get('stream') !== 'true') {
     Replies.sendJson(exchange.response, HTTP_OK, formatResponse(live));
     return;
   }
-  const start = Resuming.parseStart(exchange, front.cursors, live);
+  const start = ResumePositions.parseResumePosition(exchange, deps.cursors, live);
   if (start.kind === 'fault') {
-    Refusals.refuseRequest(front, exchange, start.fault);
+    Refusals.refuseRequest(deps, exchange, start.fault);
     return;
   }
-  front.context.metrics.addCount(Metrics.RESUMED);
-  front.context.journal.recordDecision(live.identity.id, 'resumed', 'a caller reads on', {
-    organisation: live.organisation,
-    fromSequence: start.value,
-  });
+  deps.context.metrics.addCount(Metrics.RESUMED);
+  deps.context.journal.recordDecision(
+    live.identity.id,
+    'resumed',
+    'the caller resumed the stream',
+    {
+      organisation: live.organisation,
+      fromSequence: start.value,
+    },
+  );
   EventStreams.startEventStream(exchange);
-  // A caller that is up to date waits for the status, and the next token may take a while.
+  // A caller with all events so far would otherwise get no status until the next token.
   exchange.response.flushHeaders();
-  await relayResponse(front, exchange, live, live.log.openReader(start.value));
+  await relayResponse(deps, exchange, live, live.log.openReader(start.value));
 }
 
-/** `POST /v1/responses/{id}/cancel`; an ended response stays as it ended. */
-export async function handleCancelResponse(front: Front, exchange: Exchange): Promise<void> {
-  const live = findResponse(front, exchange);
+/** `POST /v1/responses/{id}/cancel`; has no effect on a response that has ended. */
+export async function handleCancelResponse(
+  deps: HandlerDependencies,
+  exchange: Exchange,
+): Promise<void> {
+  const live = findResponse(deps, exchange);
   if (live === undefined) return;
   if (!live.log.isClosed()) {
-    front.context.journal.recordDecision(live.identity.id, 'cancelled', 'the caller asked for it', {
+    deps.context.journal.recordDecision(live.identity.id, 'cancelled', 'the caller requested it', {
       organisation: live.organisation,
     });
     live.cancel();
@@ -190,14 +219,14 @@
   Replies.sendJson(exchange.response, HTTP_OK, formatResponse(live));
 }
 
-function findResponse(front: Front, exchange: Exchange): LiveResponse | undefined {
+function findResponse(deps: HandlerDependencies, exchange: Exchange): LiveResponse | undefined {
   const id = exchange.path.split('/')[RESPONSE_ID_SEGMENT] ?? '';
-  const live = front.store.findResponse(id, exchange.organisation.name);
+  const live = deps.store.findResponse(id, exchange.organisation.name);
   if (live === undefined) {
-    Refusals.refuseRequest(front, exchange, Faults.createUnknownResponse(id));
+    Refusals.refuseRequest(deps, exchange, Faults.createUnknownResponse(id));
   }
   return live;
 }
 
-/** In `/v1/responses/{id}`, split at slashes. */
+/** Index of the id in `/v1/responses/{id}` split at slashes. */
 const RESPONSE_ID_SEGMENT = 3;
--- a/packages/sequoiarill-plugin-callers/src/responsesSchema.ts
+++ b/packages/sequoiarill-plugin-callers/src/responsesSchema.ts
@@ -1,13 +1,13 @@
-/** The body of `POST /v1/responses`. */
+/** Schema of the body of `POST /v1/responses`. */
 import type { ChatMessage } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
-import type { Checked } from './faults';
+import type { ValidationResult } from './faults';
 import * as RequestSchema from './requestSchema';
 import type { TextRequest } from './requestSchema';
 
-const neutralFields = {
-  ...RequestSchema.neutralFields,
+const unsupportedFields = {
+  ...RequestSchema.unsupportedFields,
   background: Zod.literal(false).nullish(),
   include: Zod.array(Zod.unknown()).max(0).nullish(),
   previous_response_id: Zod.null().optional(),
@@ -23,12 +23,12 @@
   type: Zod.literal('message').optional(),
   role: RequestSchema.roleSchema,
   content: RequestSchema.contentSchema,
-  // An earlier output item may be sent back as it came.
+  // Callers may send an earlier output item back unmodified as conversation history.
   id: Zod.string().optional(),
   status: Zod.string().optional(),
 });
 
-/** A plain string is one message of the user. */
+/** A plain string is treated as a single user message. */
 const inputSchema = Zod.preprocess(
   (input) => (typeof input === 'string' ? [{ role: 'user', content: input }] : input),
   Zod.array(itemSchema, { error: 'use a string or a list of messages' }).min(1),
@@ -36,24 +36,24 @@
 
 const schema = Zod.strictObject({
   ...RequestSchema.sharedFields,
-  ...neutralFields,
+  ...unsupportedFields,
   input: inputSchema,
   instructions: Zod.string().nullish(),
   max_output_tokens: RequestSchema.tokenLimitSchema,
 });
 
-const neutralNames: ReadonlySet<string> = new Set(Object.keys(neutralFields));
+const unsupportedNames: ReadonlySet<string> = new Set(Object.keys(unsupportedFields));
 
 export interface ResponsesRequest extends TextRequest {
-  /** Kept after its end, to be read and resumed. */
+  /** Whether the response is retained after it ends, for reading and resuming. */
   readonly store: boolean;
   readonly instructions?: string;
   readonly metadata: Readonly<Record<string, string>>;
   readonly user?: string;
 }
 
-export function parseResponsesRequest(body: unknown): Checked<ResponsesRequest> {
-  const checked = RequestSchema.parseRequest(schema, neutralNames, body);
+export function parseResponsesRequest(body: unknown): ValidationResult<ResponsesRequest> {
+  const checked = RequestSchema.parseRequestBody(schema, unsupportedNames, body);
   if (checked.kind === 'fault') return checked;
   const { value } = checked;
   return {
--- a/packages/sequoiarill-plugin-callers/src/routes.ts
+++ b/packages/sequoiarill-plugin-callers/src/routes.ts
@@ -1,4 +1,4 @@
-/** Paths of the API and who answers them. */
+/** Paths of the API and their handlers. */
 import * as Chat from './chat';
 import type { Handler } from './exchange';
 import * as Models from './models';
@@ -6,17 +6,17 @@
 import * as Services from './services';
 
 export interface Route {
-  /** In moleculer-web's notation. */
+  /** Path pattern in moleculer-web syntax. */
   readonly path: string;
-  /** Handler by method; a wildcard takes every method. */
+  /** Handler by HTTP method; `*` matches every method. */
   readonly methods: Readonly<Record<string, Handler>>;
-  /** First part of the request id, which is also the id of what is made. */
+  /** Prefix of the request id, which is also the id of the created object. */
   readonly idPrefix: string;
   /**
-   * Answered while draining too: only this router has the rest of a response that runs here, so
-   * refusing a caller who comes back for it would cut the answer.
+   * Also served while draining: only this router holds the rest of a response running here, so
+   * refusing a caller that reconnects to read it would truncate the answer.
    */
-  readonly isOfRunning?: true;
+  readonly isServedWhileDraining?: true;
 }
 
 export const ANY_METHOD = '*';
@@ -28,13 +28,13 @@
     path: '/v1/responses/:id',
     methods: { GET: Responses.handleReadResponse },
     idPrefix: 'req',
-    isOfRunning: true,
+    isServedWhileDraining: true,
   },
   {
     path: '/v1/responses/:id/cancel',
     methods: { POST: Responses.handleCancelResponse },
     idPrefix: 'req',
-    isOfRunning: true,
+    isServedWhileDraining: true,
   },
   { path: '/v1/models', methods: { GET: Models.handleListModels }, idPrefix: 'req' },
   { path: '/v1/models/:id', methods: { GET: Models.handleReadModel }, idPrefix: 'req' },
--- a/packages/sequoiarill-plugin-callers/src/services.ts
+++ b/packages/sequoiarill-plugin-callers/src/services.ts
@@ -1,29 +1,29 @@
-/** `/v1/services/{service}/...`: requests to plain services. */
+/** `/v1/services/{service}/...`: forwards requests to plain services. */
 import type { ServerResponse } from 'node:http';
 
 import * as Kernel from '@sequoiarill/kernel';
 import type { OrderDone, OrderNotRun, OrderOutcome, OrderRequest } from '@sequoiarill/types';
 
 import * as Bodies from './bodies';
-import type { Exchange, Front } from './exchange';
+import type { Exchange, HandlerDependencies } from './exchange';
 import type { FaultCode } from './faultCodes';
 import * as Faults from './faults';
 import type { Fault } from './faults';
 import * as Refusals from './refusals';
 
-const BAD_GATEWAY = 502;
+const HTTP_BAD_GATEWAY = 502;
 const OUTCOME_HEADER = 'x-sequoiarill-outcome';
 const PATH_PATTERN = /^\/v1\/services\/([^/]+)(\/.*)?$/;
 
-/** Set anew for the next connection, or meant for this router alone. */
-const OWN_REQUEST_HEADERS: ReadonlySet<string> = new Set([
+/** Request headers set again for the next connection, or meant for this router only. */
+const UNFORWARDED_REQUEST_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'content-length',
   'expect',
   'host',
 ]);
-/** The body is whole here, so its length is known anew. */
-const OWN_ANSWER_HEADERS: ReadonlySet<string> = new Set(['content-length', OUTCOME_HEADER]);
+/** Answer headers that are set again; the full body is available, so its length is computed. */
+const UNFORWARDED_ANSWER_HEADERS: ReadonlySet<string> = new Set(['content-length', OUTCOME_HEADER]);
 
 const STATUS_BY_REASON = {
   unknownService: 404,
@@ -47,40 +47,43 @@
   draining: 'draining',
 } as const satisfies Record<OrderNotRun['reason'], FaultCode>;
 
-/** Taken as a key, it would tie unrelated orders together; as none, it would drop the guard. */
-const EMPTY_KEY: Fault = Faults.createInvalid(
+/**
+ * An empty key is refused: used as a key, it would match unrelated orders; ignored, it would
+ * disable the protection against duplicate execution.
+ */
+const EMPTY_KEY_FAULT: Fault = Faults.createBadRequest(
   'invalid_value',
   'The header "Idempotency-Key" is empty; send a key of your own or leave it out.',
 );
 
-const CLIENT_ERROR = 400;
-const SERVER_ERROR = 500;
+const MIN_CLIENT_ERROR_STATUS = 400;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-export async function handleService(front: Front, exchange: Exchange): Promise<void> {
-  const body = await Bodies.readBody(exchange.request, front.settings.maxBodyBytes);
+export async function handleService(deps: HandlerDependencies, exchange: Exchange): Promise<void> {
+  const body = await Bodies.readBody(exchange.request, deps.settings.maxBodyBytes);
   if (body.kind === 'fault') {
     markNotRun(exchange.response);
-    Refusals.refuseRequest(front, exchange, body.fault);
+    Refusals.refuseRequest(deps, exchange, body.fault);
     return;
   }
   const order = buildOrder(exchange, body.value);
   if (order.idempotencyKey === '') {
     markNotRun(exchange.response);
-    Refusals.refuseRequest(front, exchange, EMPTY_KEY);
+    Refusals.refuseRequest(deps, exchange, EMPTY_KEY_FAULT);
     return;
   }
-  front.context.journal.recordDecision(exchange.requestId, 'accepted', 'order', {
+  deps.context.journal.recordDecision(exchange.requestId, 'accepted', 'order', {
     organisation: order.organisation.name,
     service: order.service,
     method: order.method,
   });
-  const outcome = await runOrder(front, order);
-  sendOutcome(front, exchange, outcome);
+  const outcome = await runOrder(deps, order);
+  sendOutcome(deps, exchange, outcome);
 }
 
-/** A service of another organisation and one that does not exist look alike. */
-async function runOrder(front: Front, order: OrderRequest): Promise<OrderOutcome> {
-  if (order.organisation.services.includes(order.service)) return front.orders.runOrder(order);
+/** Refuses a service of another organisation exactly like one that does not exist. */
+async function runOrder(deps: HandlerDependencies, order: OrderRequest): Promise<OrderOutcome> {
+  if (order.organisation.services.includes(order.service)) return deps.orders.runOrder(order);
   const message = `The service "${order.service}" does not exist or your organisation may not use it.`;
   return { kind: 'notRun', reason: 'unknownService', message, retryAfterSeconds: 0 };
 }
@@ -88,7 +91,7 @@
 function buildOrder(exchange: Exchange, body: Buffer): OrderRequest {
   const { request, requestId, organisation, closed } = exchange;
   const match = PATH_PATTERN.exec(exchange.path);
-  const headers = selectHeaders(request.headers, OWN_REQUEST_HEADERS);
+  const headers = selectHeaders(request.headers, UNFORWARDED_REQUEST_HEADERS);
   const idempotencyKey = headers['idempotency-key'];
   return {
     requestId,
@@ -107,21 +110,22 @@
 
 function selectHeaders(
   headers: HeaderValues,
-  own: ReadonlySet<string>,
+  unforwarded: ReadonlySet<string>,
 ): Readonly<Record<string, string>> {
   const connection = String(headers.connection ?? '').toLowerCase();
-  const named = new Set(connection.split(',').map((name) => name.trim()));
+  const connectionHeaders = new Set(connection.split(',').map((name) => name.trim()));
   const selected: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    const isOwn = Kernel.HOP_BY_HOP_HEADERS.has(name) || named.has(name) || own.has(name);
-    if (value !== undefined && !isOwn) selected[name] = String(value);
+    const isUnforwarded =
+      Kernel.HOP_BY_HOP_HEADERS.has(name) || connectionHeaders.has(name) || unforwarded.has(name);
+    if (value !== undefined && !isUnforwarded) selected[name] = String(value);
   }
   return selected;
 }
 
 /**
- * Reasons that are true of this request only. An earlier one with the same key may have run or still
- * runs, and a caller who reads "not run" as true of the order would send it again under a new key.
+ * Reasons that apply to this request only: an earlier request with the same key may have run or may
+ * still be running. Told "not run", a caller could send the order again with a new key.
  */
 const NOT_SENT_REASONS: ReadonlySet<OrderNotRun['reason']> = new Set([
   'inProgress',
@@ -132,15 +136,15 @@
   return NOT_SENT_REASONS.has(outcome.reason);
 }
 
-type NotRunMark = 'not-run' | 'not-sent';
+type OutcomeMark = 'not-run' | 'not-sent';
 
-function markNotRun(response: ServerResponse, mark: NotRunMark = 'not-run'): void {
+function markNotRun(response: ServerResponse, mark: OutcomeMark = 'not-run'): void {
   if (!response.headersSent) response.setHeader(OUTCOME_HEADER, mark);
 }
 
-function sendOutcome(front: Front, exchange: Exchange, outcome: OrderOutcome): void {
+function sendOutcome(deps: HandlerDependencies, exchange: Exchange, outcome: OrderOutcome): void {
   if (outcome.kind === 'done') {
-    front.context.journal.recordDecision(exchange.requestId, 'finished', 'done', {
+    deps.context.journal.recordDecision(exchange.requestId, 'finished', 'done', {
       status: outcome.status,
     });
     sendDone(exchange.response, outcome);
@@ -148,12 +152,12 @@
   }
   if (outcome.kind === 'notRun') {
     markNotRun(exchange.response, isNotSent(outcome) ? 'not-sent' : 'not-run');
-    Refusals.refuseRequest(front, exchange, createNotRunFault(outcome));
+    Refusals.refuseRequest(deps, exchange, createNotRunFault(outcome));
     return;
   }
   if (!exchange.response.headersSent) exchange.response.setHeader(OUTCOME_HEADER, 'unknown');
-  Refusals.refuseRequest(front, exchange, {
-    status: BAD_GATEWAY,
+  Refusals.refuseRequest(deps, exchange, {
+    status: HTTP_BAD_GATEWAY,
     type: 'server_error',
     code: 'outcome_unknown',
     message: `Outcome unknown, it ran once or not at all: ${outcome.message}`,
@@ -162,7 +166,7 @@
 
 function sendDone(response: ServerResponse, outcome: OrderDone): void {
   if (response.headersSent || response.destroyed) return;
-  const headers = selectHeaders(outcome.headers, OWN_ANSWER_HEADERS);
+  const headers = selectHeaders(outcome.headers, UNFORWARDED_ANSWER_HEADERS);
   for (const [name, value] of Object.entries(headers)) {
     if (name !== 'x-request-id') response.setHeader(name, value);
   }
@@ -173,10 +177,10 @@
 
 function createNotRunFault(outcome: OrderNotRun): Fault {
   const status = STATUS_BY_REASON[outcome.reason];
-  const isCallers = status >= CLIENT_ERROR && status < SERVER_ERROR;
+  const isClientError = status >= MIN_CLIENT_ERROR_STATUS && status < MIN_SERVER_ERROR_STATUS;
   const fault: Fault = {
     status,
-    type: isCallers ? 'invalid_request_error' : 'server_error',
+    type: isClientError ? 'invalid_request_error' : 'server_error',
     code: CODE_BY_REASON[outcome.reason],
     message: `${isNotSent(outcome) ? 'Not sent' : 'Not run'}: ${outcome.message}`,
   };
