--- a/packages/sequoiarill-plugin-callers/src/__tests__/responseLog.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/responseLog.test.ts
@@ -20,15 +20,15 @@
     // read would leave a gap for the slow one.
     const log = ResponseLogs.createResponseLog(() => undefined);
     const fastReader = log.openReader(0);
-    const slow = log.openReader(0);
+    const slowReader = log.openReader(0);
     log.addEvent('one ');
-    expect(slow.readNextEvents()).toEqual('one ');
+    expect(slowReader.readNextEvents()).toEqual('one ');
     log.addEvent('two ');
     log.addEvent('three ');
     expect(fastReader.readNextEvents()).toEqual('one two three ');
     log.removeReadEvents(0);
     expect([log.getFirstSequence(), log.getNextSequence()]).toEqual([1, 3]);
-    expect(slow.readNextEvents()).toEqual('two three ');
+    expect(slowReader.readNextEvents()).toEqual('two three ');
   });
 
   it('keeps all events while there is no reader', () => {
@@ -76,12 +76,12 @@
     const store = ResponseStores.createResponseStore(settings, CLOCK);
     const logs = [1, 2, 3].map(() => ResponseLogs.createResponseLog(store.recordSizeChange));
     logs.forEach((log) => log.addEvent('x'.repeat(100)));
-    const [left, , read] = logs;
-    read?.openReader(0).readNextEvents();
-    expect(left && store.hasCapacity(left)).toEqual(false);
-    expect(read && store.hasCapacity(read)).toEqual(true);
-    expect(read?.getBytes()).toEqual(0);
-    expect(left && store.hasCapacity(left)).toEqual(true);
+    const [logWithoutReader, , logWithReader] = logs;
+    logWithReader?.openReader(0).readNextEvents();
+    expect(logWithoutReader && store.hasCapacity(logWithoutReader)).toEqual(false);
+    expect(logWithReader && store.hasCapacity(logWithReader)).toEqual(true);
+    expect(logWithReader?.getBytes()).toEqual(0);
+    expect(logWithoutReader && store.hasCapacity(logWithoutReader)).toEqual(true);
   });
 });
 
--- a/packages/sequoiarill-plugin-callers/src/__tests__/resuming.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/resuming.test.ts
@@ -56,10 +56,10 @@
         ? {}
         : { headers: { 'last-event-id': getLastEventId(eventsBeforeDisconnect) } };
     const query = method === 'starting_after' ? '&starting_after=4' : '';
-    const rest = await Calls.callOnce(`${url}${query}`, options);
+    const resumedStream = await Calls.callOnce(`${url}${query}`, options);
     const fullStream = await Calls.callOnce(url);
     expect(firstEvents.length > 0).toEqual(true);
-    expect(eventsBeforeDisconnect + rest.text).toEqual(fullStream.text);
+    expect(eventsBeforeDisconnect + resumedStream.text).toEqual(fullStream.text);
     expect(Calls.getDeltas(fullStream.text)).toEqual('Size 42 fits.');
   }
 
@@ -73,14 +73,14 @@
     await first.readUntil('"delta":"Size "');
     first.disconnect();
     const client = new OpenAI({ baseURL: `${router.url}/v1`, apiKey: Fakes.SHOP_KEY });
-    const rest = await client.responses.retrieve(getResponseId(first), {
+    const resumedStream = await client.responses.retrieve(getResponseId(first), {
       stream: true,
       starting_after: 4,
     });
     generation.sendText('42.');
     generation.finish(Fakes.COMPLETED);
     const types: string[] = [];
-    for await (const event of rest) types.push(event.type);
+    for await (const event of resumedStream) types.push(event.type);
     expect([types[0], types.at(-1)]).toEqual(['response.output_text.delta', 'response.completed']);
     const retained = await client.responses.retrieve(getResponseId(first));
     expect([retained.status, retained.output_text]).toEqual(['completed', 'Size 42.']);
--- a/packages/sequoiarill-plugin-callers/src/__tests__/slowReader.test.ts
+++ b/packages/sequoiarill-plugin-callers/src/__tests__/slowReader.test.ts
@@ -44,17 +44,17 @@
       const router = await started;
       const longGeneration = createLongGeneration();
       router.setScript(longGeneration.script);
-      const slow = await Calls.openCall(router.url + path, { body });
+      const slowAnswer = await Calls.openCall(router.url + path, { body });
       await Calls.waitForIdle(longGeneration.getTaken);
       const takenWhileBlocked = longGeneration.getTaken();
       const dump = (await router.kernel.dumpProcess()).plugins.callers;
       expect(dump?.requests).toEqual({ waiting: 0, sending: 0, blocked: 1 });
       router.setScript(Fakes.createGenerationScript(['Hello']));
-      const quick = await Calls.callOnce(router.url + path, { body });
-      expect(quick.text.includes('Hello')).toEqual(true);
+      const otherAnswer = await Calls.callOnce(router.url + path, { body });
+      expect(otherAnswer.text.includes('Hello')).toEqual(true);
       expect(takenWhileBlocked < BATCH_COUNT).toEqual(true);
       expect(longGeneration.getTaken()).toEqual(takenWhileBlocked);
-      const text = await slow.readUntil();
+      const text = await slowAnswer.readUntil();
       expect(longGeneration.getTaken()).toEqual(BATCH_COUNT);
       const digits = [...text.matchAll(/"(?:delta|content)":"(\d)(\d+)"/g)].map(
         (match) => `${match[1]}x${(match[2] ?? '').length + 1}`,
@@ -72,18 +72,20 @@
     // not occupy its engine and its connection for ever.
     const router = await Fakes.startRouter({ writeTimeoutMs: 20, resumeGraceMs: 1 });
     test.after(router.stop);
-    const long = createLongGeneration();
+    const longGeneration = createLongGeneration();
     let isStopped = false;
     router.setScript(async function* runMonitored(request) {
       try {
-        return yield* long.script(request);
+        return yield* longGeneration.script(request);
       } finally {
         isStopped = true;
       }
     });
-    const slow = await Calls.openCall(`${router.url}/v1/responses`, { body: Calls.RESPONSE_BODY });
+    const slowAnswer = await Calls.openCall(`${router.url}/v1/responses`, {
+      body: Calls.RESPONSE_BODY,
+    });
     await Calls.waitUntil(() => isStopped);
-    expect(long.getTaken() < BATCH_COUNT).toEqual(true);
-    slow.disconnect();
+    expect(longGeneration.getTaken() < BATCH_COUNT).toEqual(true);
+    slowAnswer.disconnect();
   });
 });
--- a/packages/sequoiarill-plugin-callers/src/liveResponse.ts
+++ b/packages/sequoiarill-plugin-callers/src/liveResponse.ts
@@ -31,7 +31,7 @@
   readonly firstStep: GenerationStep;
   /** Controller of the signal that `run` was started with. */
   readonly controller: AbortController;
-  readonly signSequence: (sequence: number) => string;
+  readonly signEventId: (sequence: number) => string;
   /** Events are stored for streamed responses only, so only these can be resumed. */
   readonly isStreamed: boolean;
   /** Whether the generation may continue; otherwise it waits for a reader. */
@@ -51,7 +51,7 @@
 export function createLiveResponse(options: LiveResponseOptions): LiveResponse {
   const { identity, controller, hasCapacity, isStreamed, organisation } = options;
   const { recordSizeChange, recordFailure } = options;
-  const events = ResponseEvents.createResponseEvents(identity, options.signSequence);
+  const events = ResponseEvents.createResponseEvents(identity, options.signEventId);
   const log = ResponseLogs.createResponseLog(recordSizeChange);
   let text = '';
   let textBytes = 0;
--- a/packages/sequoiarill-plugin-callers/src/responseEvents.ts
+++ b/packages/sequoiarill-plugin-callers/src/responseEvents.ts
@@ -136,7 +136,7 @@
 /** Formats the events of one response; fields common to all deltas are encoded only once. */
 export function createResponseEvents(
   identity: ResponseIdentity,
-  signSequence: (sequence: number) => string,
+  signEventId: (sequence: number) => string,
 ): ResponseEvents {
   const contentFields = `"item_id":${JSON.stringify(identity.itemId)},"output_index":0,"content_index":0`;
   const deltaType = 'response.output_text.delta';
@@ -146,7 +146,7 @@
   function formatEvent(type: string, fields: string): string {
     const number = sequence;
     sequence += 1;
-    const id = signSequence(number);
+    const id = signEventId(number);
     const data = `{"type":"${type}",${fields},"sequence_number":${number}}`;
     return `event: ${type}\nid: ${id}\ndata: ${data}\n\n`;
   }
@@ -181,7 +181,7 @@
       const number = sequence;
       sequence += 1;
       const data = `${deltaStart}${JSON.stringify(text)},"logprobs":[],"sequence_number":${number}}`;
-      return `event: ${deltaType}\nid: ${signSequence(number)}${data}\n\n`;
+      return `event: ${deltaType}\nid: ${signEventId(number)}${data}\n\n`;
     },
     formatEnd(text, outcome) {
       const status = getStatus(outcome);
--- a/packages/sequoiarill-plugin-callers/src/responses.ts
+++ b/packages/sequoiarill-plugin-callers/src/responses.ts
@@ -106,7 +106,7 @@
     firstStep,
     controller,
     isStreamed: request.stream,
-    signSequence: (sequence) => deps.cursors.signCursor({ requestId, organisation, sequence }),
+    signEventId: (sequence) => deps.cursors.signCursor({ requestId, organisation, sequence }),
     hasCapacity: request.stream ? deps.store.hasCapacity : () => true,
     recordSizeChange: deps.store.recordSizeChange,
     recordFailure: (error) =>
