--- a/bench/src/configurationSlopes.ts
+++ b/bench/src/configurationSlopes.ts
@@ -89,7 +89,7 @@
     clock,
     logEvent: () => undefined,
     metrics: Kernel.createMetrics(undefined, {}),
-    news: Platform.createNewsKeeper(clock, STALE_MS),
+    announcements: Platform.createAnnouncementStore(clock, STALE_MS),
   });
 }
 
--- a/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
@@ -25,7 +25,7 @@
     clock,
     logEvent: (definition) => events.push(definition),
     metrics: Fixtures.SILENT_METRICS,
-    news: News.createNewsKeeper(clock, 3_000),
+    announcements: News.createAnnouncementStore(clock, 3_000),
   });
   return { state, events };
 }
@@ -145,7 +145,7 @@
 describe('news of the configuration', () => {
   it('rises with the reader, then its beats, and never falls', () => {
     const clock = Kernel.createFakeClock();
-    const news = News.createNewsKeeper(clock, 3_000);
+    const news = News.createAnnouncementStore(clock, 3_000);
     news.confirmNews(7, 20);
     news.confirmNews(7, 21);
     expect(news.getAnnouncement()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
@@ -159,7 +159,7 @@
     // Story: two zones have a reader each; the one with the higher fence dies. The other goes on
     // reading, but its news look old to every peer, so new changes would not be passed on.
     const clock = Kernel.createFakeClock();
-    const news = News.createNewsKeeper(clock, 3_000);
+    const news = News.createAnnouncementStore(clock, 3_000);
     news.mergeNews({ readerFence: 9, readerBeat: 5, revision: 30 });
     news.confirmNews(7, 31);
     expect(news.getAnnouncement()).toEqual({ readerFence: 9, readerBeat: 5, revision: 31 });
--- a/packages/sequoiarill-plugin-platform/src/__tests__/documentChecks.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/documentChecks.test.ts
@@ -82,7 +82,9 @@
       models: { small: { version: 'v1', contextTokens: 100 } },
       vms: { 'vm-1': VM, 'vm-2': VM },
     });
-    const lines = DocumentReader.checkAlone(text, 'x.json', 'x').map(SectionParser.formatFault);
+    const lines = DocumentReader.checkStandalone(text, 'x.json', 'x').map(
+      SectionParser.formatFault,
+    );
     expect(lines.length).toEqual(5);
     expect(lines[4]).toEqual(
       'x.json: [x] models.small.maxOutputTokens: 4096 is above contextTokens (100); lower it',
@@ -90,9 +92,9 @@
   });
 
   it('refuses text that is no JSON and text that is too long', () => {
-    const [bad] = DocumentReader.checkAlone('{', 'x.json', 'x');
+    const [bad] = DocumentReader.checkStandalone('{', 'x.json', 'x');
     expect(bad?.reason.startsWith('no valid JSON')).toEqual(true);
-    const [long] = DocumentReader.checkAlone(' '.repeat(600_001), 'x.json', 'x');
+    const [long] = DocumentReader.checkStandalone(' '.repeat(600_001), 'x.json', 'x');
     expect(long?.reason).toEqual('600001 bytes are above 600000; split the section in two');
   });
 });
--- a/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
@@ -70,7 +70,7 @@
         clock,
         logEvent: () => undefined,
         metrics: Fixtures.SILENT_METRICS,
-        news: News.createNewsKeeper(clock, 3_000),
+        announcements: News.createAnnouncementStore(clock, 3_000),
       });
       const texts = new Map<string, string>();
       for (const [round, batch] of plan.entries()) {
--- a/packages/sequoiarill-plugin-platform/src/configurationNews.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationNews.ts
@@ -25,7 +25,7 @@
   readonly updateRevision: (revision: number) => void;
 }
 
-export function createNewsKeeper(clock: Clock, staleMs: number): NewsKeeper {
+export function createAnnouncementStore(clock: Clock, staleMs: number): NewsKeeper {
   let news: ConfigurationAnnouncement = { readerFence: 0, readerBeat: 0, revision: 0 };
   let raisedMs = Number.NEGATIVE_INFINITY;
 
--- a/packages/sequoiarill-plugin-platform/src/configurationState.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationState.ts
@@ -34,7 +34,7 @@
   readonly clock: Clock;
   readonly logEvent: LogEvent;
   readonly metrics: Metrics;
-  readonly news: NewsKeeper;
+  readonly announcements: NewsKeeper;
 }
 
 /** Faults of one section that are logged; an operator sees the rest with `config check`. */
@@ -49,7 +49,7 @@
 const EMPTY: Configuration = Builder.buildConfiguration(0, new Map(), new Map());
 
 export function createConfigurationState(options: ConfigurationStateOptions): ConfigurationState {
-  const { clock, logEvent, metrics, news } = options;
+  const { clock, logEvent, metrics, announcements: news } = options;
   const records = new Map<string, ConfigurationSection>();
   /** Revision of the newest text that was refused, by name. */
   const refused = new Map<string, number>();
--- a/packages/sequoiarill-plugin-platform/src/documentReader.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentReader.ts
@@ -121,7 +121,11 @@
 }
 
 /** What a file has wrong by itself, without the rest of the document. */
-export function checkAlone(text: string, file: string, section: string): readonly DocumentFault[] {
+export function checkStandalone(
+  text: string,
+  file: string,
+  section: string,
+): readonly DocumentFault[] {
   const result = SectionParser.parseSection(text, file, section);
   if (result.kind === 'faults') return result.faults;
   return DocumentChecks.checkAloneSection({ name: section, file, content: result.content });
--- a/packages/sequoiarill-plugin-platform/src/followedConfiguration.ts
+++ b/packages/sequoiarill-plugin-platform/src/followedConfiguration.ts
@@ -76,8 +76,8 @@
   options: FollowedConfigurationOptions,
 ): FollowedConfiguration {
   const { process, mode, store, clock, nextRandom, logEvent, metrics } = options;
-  const news = News.createNewsKeeper(clock, ReaderDuties.STALE_NEWS_MS);
-  const state = States.createConfigurationState({ clock, logEvent, metrics, news });
+  const news = News.createAnnouncementStore(clock, ReaderDuties.STALE_NEWS_MS);
+  const state = States.createConfigurationState({ clock, logEvent, metrics, announcements: news });
   const { markAway, isAway } = createAwayMark(logEvent);
   const keeper = LeaseKeepers.createLeaseKeeper({
     store,
--- a/packages/sequoiarill/src/__tests__/settingsPages.test.ts
+++ b/packages/sequoiarill/src/__tests__/settingsPages.test.ts
@@ -46,6 +46,6 @@
 
   it('hold a section of the configuration without fault', () => {
     const { file, text } = Pages.readPage('examples/fit.json');
-    expect(Platform.checkAlone(text, file, 'fit')).toEqual([]);
+    expect(Platform.checkStandalone(text, file, 'fit')).toEqual([]);
   });
 });
--- a/packages/sequoiarill/src/commands/config.ts
+++ b/packages/sequoiarill/src/commands/config.ts
@@ -83,7 +83,7 @@
   if (text === undefined) return ConfigOutput.reportUnreadable(file);
   const section = options.section ?? path.basename(file, path.extname(file));
   if (options.platform === undefined && options.settings === undefined) {
-    return ConfigOutput.reportCheck(Platform.checkAlone(text, file, section), 'alone');
+    return ConfigOutput.reportCheck(Platform.checkStandalone(text, file, section), 'alone');
   }
   return runConnected(options, '', async (editor) => {
     const outcome = await editor.checkSection({ section, text, file });
