--- a/packages/sequoiarill-plugin-platform/src/__tests__/apiKeys.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/apiKeys.test.ts
@@ -11,11 +11,11 @@
     Object.entries(keys).map(([name, records]) => [name, { keys: records }]),
   );
   const content = DocumentSchema.sectionSchema.parse({ organisations });
-  return Builder.buildConfiguration(1, new Map([['a', Builder.buildParts(content)]]), new Map());
+  return Builder.buildConfiguration(1, new Map([['a', Builder.buildItems(content)]]), new Map());
 }
 
 describe('API keys', () => {
-  it('belong to their organisation and to no other', () => {
+  it('are accepted only for their own organisation', () => {
     const [first, second] = [Kernel.createKeyRecord(), Kernel.createKeyRecord()];
     const configuration = buildWithKeys({ shop: [first.record], doors: [second.record] });
     expect(Kernel.verifyKey(configuration, first.presented)?.organisation.name).toEqual('shop');
@@ -25,14 +25,14 @@
     expect(Kernel.verifyKey(configuration, crossed)).toEqual(undefined);
   });
 
-  it('are refused when malformed, unknown or wrong', () => {
+  it('are rejected if malformed, unknown or wrong', () => {
     const { presented, record } = Kernel.createKeyRecord();
     const configuration = buildWithKeys({ shop: [record] });
     const bad = ['', 'sqr_', `${presented}0`, `x${presented}`, 'sqr_00_00', presented.slice(0, -1)];
     bad.forEach((key) => expect(Kernel.verifyKey(configuration, key)).toEqual(undefined));
   });
 
-  it('do not show in what is stored', () => {
+  it('are not contained in the stored record', () => {
     const { presented, record } = Kernel.createKeyRecord();
     const [, , secret] = presented.split('_');
     expect(JSON.stringify(record).includes(secret ?? '')).toEqual(false);
--- a/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
@@ -4,7 +4,7 @@
 import * as Kernel from '@sequoiarill/kernel';
 import { expect } from 'earl';
 
-import * as News from '../configurationNews';
+import * as Announcements from '../announcementStore';
 import * as States from '../configurationState';
 import * as Events from '../events';
 import * as Fixtures from './fixtures';
@@ -25,7 +25,7 @@
     clock,
     logEvent: (definition) => events.push(definition),
     metrics: Fixtures.SILENT_METRICS,
-    announcements: News.createAnnouncementStore(clock, 3_000),
+    announcements: Announcements.createAnnouncementStore(clock, 3_000),
   });
   return { state, events };
 }
@@ -35,7 +35,7 @@
 }
 
 describe('configuration state', () => {
-  it('builds a snapshot with defaults and keeps unchanged organisations as they are', () => {
+  it('builds a snapshot with defaults and reuses the objects of unchanged organisations', () => {
     const { state } = createState();
     const text = JSON.stringify({ organisations: { shop: { limits: { tokensPerSecond: 50 } } } });
     state.applyRecords([createRecord('teams', 3, text)]);
@@ -55,9 +55,9 @@
     expect(state.getConfiguration().revision).toEqual(4);
   });
 
-  it('never goes back to an older revision, whoever brings it', () => {
-    // Story: a router that was paused, or a platform restored from a backup, hands out a text that
-    // was replaced long ago. Taking it would undo a change that was accepted and in force.
+  it('never reverts to an older revision, from any source', () => {
+    // Failure: a router that was paused, or a platform that was restored from a backup, provides an
+    // outdated text. Applying it would revert a change that was accepted and in effect.
     const { state } = createState();
     state.applyRecords([createRecord('models', 9, Fixtures.formatModelSection('new'))]);
     state.applyRecords([createRecord('models', 5, Fixtures.formatModelSection('old'))]);
@@ -67,9 +67,9 @@
     expect(state.getConfiguration().models.get('advisor')?.version).toEqual('new');
   });
 
-  it('keeps the last good text when a stored one does not parse', () => {
-    // Story: somebody writes a section past the command line, with a spelling mistake. All routers
-    // see it; dropping the section would turn away a whole team's callers.
+  it('keeps the last valid text when a stored one does not parse', () => {
+    // Failure: a section is written without the commands and contains a spelling mistake. All
+    // routers receive it; dropping the section would reject all callers of a team.
     const { state, events } = createState();
     state.applyRecords([createRecord('models', 3, Fixtures.formatModelSection('good'))]);
     state.applyRecords([createRecord('models', 4, '{"modles": {}}')]);
@@ -83,9 +83,10 @@
     expect(state.getConfiguration().models.get('advisor')?.version).toEqual('mended');
   });
 
-  it('gives peers nothing beyond what is confirmed', () => {
-    // Story: two watches run side by side and the later of two changes arrives first. A peer given
-    // that one would count itself as knowing everything before it, and never ask for the other.
+  it('withholds unconfirmed records from peers', () => {
+    // Failure: of two changes on separate watches, the later one arrives first. A peer that
+    // received it would consider itself complete up to that revision and never request the earlier
+    // one.
     const { state } = createState();
     state.applyRecords([
       createRecord('models', 3, '{}'),
@@ -104,7 +105,7 @@
     expect(state.listSectionsAfter(3).map(({ name }) => name)).toEqual(['vm:vm-1']);
   });
 
-  it('makes a VM leaving when either source says so', () => {
+  it('marks a VM as leaving if either source does', () => {
     const { state } = createState();
     const getState = () => state.getConfiguration().targets.get('engine-1')?.vmState;
     state.applyRecords([createRecord('vms', 3, VM_SECTION)]);
@@ -118,19 +119,19 @@
     expect(getState()).toEqual('leaving');
   });
 
-  it('forgets the VMs that changed longest ago beyond a bound', () => {
+  it('removes the VMs that changed longest ago above the limit', () => {
     const { state } = createState();
     const records = Array.from({ length: 20_002 }, (unused, index) =>
       createRecord(`vm:vm-${index}`, index + 1, '{"state":"live"}'),
     );
     state.applyRecords(records);
     state.mergeSections({ readerFence: 1, readerBeat: 1, revision: 30_000 }, []);
-    const kept = state.listSectionsAfter(0);
-    expect(kept.length).toEqual(20_000);
-    expect(kept[0]?.name).toEqual('vm:vm-2');
+    const remaining = state.listSectionsAfter(0);
+    expect(remaining.length).toEqual(20_000);
+    expect(remaining[0]?.name).toEqual('vm:vm-2');
   });
 
-  it('tells subscribers of each change until they leave', () => {
+  it('notifies subscribers of each change until they unsubscribe', () => {
     const { state } = createState();
     const revisions: number[] = [];
     const unsubscribe = state.subscribeConfiguration(({ revision }) => revisions.push(revision));
@@ -142,29 +143,49 @@
   });
 });
 
-describe('news of the configuration', () => {
-  it('rises with the reader, then its beats, and never falls', () => {
+describe('configuration announcement', () => {
+  it('increases with the fencing number and heartbeat of the reader, and never decreases', () => {
     const clock = Kernel.createFakeClock();
-    const news = News.createAnnouncementStore(clock, 3_000);
-    news.confirmNews(7, 20);
-    news.confirmNews(7, 21);
-    expect(news.getAnnouncement()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
-    news.mergeNews({ readerFence: 6, readerBeat: 90, revision: 99 });
-    expect(news.getAnnouncement()).toEqual({ readerFence: 7, readerBeat: 2, revision: 21 });
-    news.mergeNews({ readerFence: 9, readerBeat: 1, revision: 15 });
-    expect(news.getAnnouncement()).toEqual({ readerFence: 9, readerBeat: 1, revision: 21 });
+    const announcements = Announcements.createAnnouncementStore(clock, 3_000);
+    announcements.confirmRevision(7, 20);
+    announcements.confirmRevision(7, 21);
+    expect(announcements.getAnnouncement()).toEqual({
+      readerFence: 7,
+      readerBeat: 2,
+      revision: 21,
+    });
+    announcements.mergeAnnouncement({ readerFence: 6, readerBeat: 90, revision: 99 });
+    expect(announcements.getAnnouncement()).toEqual({
+      readerFence: 7,
+      readerBeat: 2,
+      revision: 21,
+    });
+    announcements.mergeAnnouncement({ readerFence: 9, readerBeat: 1, revision: 15 });
+    expect(announcements.getAnnouncement()).toEqual({
+      readerFence: 9,
+      readerBeat: 1,
+      revision: 21,
+    });
   });
 
-  it('makes a reader with a lower fence heard once the higher one falls silent', () => {
-    // Story: two zones have a reader each; the one with the higher fence dies. The other goes on
-    // reading, but its news look old to every peer, so new changes would not be passed on.
+  it('lets a reader with a lower fencing number take over once the higher one is silent', () => {
+    // Failure: two zones have one reader each, and the one with the higher fencing number fails.
+    // The other continues to read, but all peers would ignore its announcements as outdated.
     const clock = Kernel.createFakeClock();
-    const news = News.createAnnouncementStore(clock, 3_000);
-    news.mergeNews({ readerFence: 9, readerBeat: 5, revision: 30 });
-    news.confirmNews(7, 31);
-    expect(news.getAnnouncement()).toEqual({ readerFence: 9, readerBeat: 5, revision: 31 });
+    const announcements = Announcements.createAnnouncementStore(clock, 3_000);
+    announcements.mergeAnnouncement({ readerFence: 9, readerBeat: 5, revision: 30 });
+    announcements.confirmRevision(7, 31);
+    expect(announcements.getAnnouncement()).toEqual({
+      readerFence: 9,
+      readerBeat: 5,
+      revision: 31,
+    });
     clock.delay(3_000);
-    news.confirmNews(7, 32);
-    expect(news.getAnnouncement()).toEqual({ readerFence: 10, readerBeat: 1, revision: 32 });
+    announcements.confirmRevision(7, 32);
+    expect(announcements.getAnnouncement()).toEqual({
+      readerFence: 10,
+      readerBeat: 1,
+      revision: 32,
+    });
   });
 });
--- a/packages/sequoiarill-plugin-platform/src/__tests__/following.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/configurationSync.test.ts
@@ -6,7 +6,7 @@
 import * as DocumentEditors from '../documentEditor';
 import * as DocumentRecords from '../documentRecords';
 import * as Events from '../events';
-import * as SourceFollowers from '../sourceFollower';
+import * as SourceWatchers from '../sourceWatcher';
 import * as StoredSection from '../storedSection';
 import * as Platforms from './fakePlatform';
 import * as Fixtures from './fixtures';
@@ -23,8 +23,8 @@
   return { clock, platform, node };
 }
 
-describe('following the configuration', () => {
-  it('reads it soon after a start and applies a change as it is watched', async () => {
+describe('configuration sync', () => {
+  it('reads the configuration after a start and applies watched changes', async () => {
     const { clock, platform, node } = await startNode();
     expect(node.getVersion()).toEqual('v1');
     platform.write(KEY, Fixtures.formatModelSection('v2'));
@@ -33,17 +33,17 @@
     await node.stop();
   });
 
-  it('serves on through an outage and catches up after it', async () => {
-    // Story: the platform is down for an hour while operators get a change in just before its end.
-    // Routers must go on with what they have, then have the change within seconds.
+  it('keeps its configuration during an outage and applies missed changes after it', async () => {
+    // Failure: the platform is unavailable to routers for an hour, and a change is written just
+    // before the end. Routers must keep their configuration and apply the change within seconds.
     const { clock, platform, node } = await startNode();
-    platform.faults.isAway = true;
+    platform.faults.isDown = true;
     platform.closeWatches();
     await clock.runFor(3_600_000);
     expect(node.getVersion()).toEqual('v1');
-    expect(node.isAway()).toEqual(true);
+    expect(node.isUnavailable()).toEqual(true);
     platform.write(KEY, Fixtures.formatModelSection('v2'));
-    platform.faults.isAway = false;
+    platform.faults.isDown = false;
     await clock.runFor(15_000);
     expect(node.getVersion()).toEqual('v2');
     const outage = [Events.PLATFORM_AWAY, Events.PLATFORM_BACK];
@@ -51,9 +51,9 @@
     await node.stop();
   });
 
-  it('reads everything again when the watch missed changes', async () => {
-    // Story: a connection breaks, many changes follow, and the platform compacts them away before
-    // the watch is back. Going on from the present would lose the change between.
+  it('reads all records again when the watch missed changes', async () => {
+    // Failure: a connection breaks, and the platform compacts the changes that follow before the
+    // watch is reopened. Continuing from the current revision would lose them.
     const { clock, platform, node } = await startNode();
     platform.faults.isWatchSilent = true;
     platform.write(KEY, Fixtures.formatModelSection('v2'));
@@ -67,9 +67,9 @@
     await node.stop();
   });
 
-  it('notices a watch that is open and silent', async () => {
-    // Story: a firewall forgets the connection of a watch; neither side closes it. Operators see
-    // their change accepted, and the zone would never learn of it.
+  it('detects a watch that is open but silent', async () => {
+    // Failure: a firewall drops the connection of a watch without either side closing it. A change
+    // that operators see as accepted would never reach the zone.
     const { clock, platform, node } = await startNode();
     platform.faults.isWatchSilent = true;
     platform.write(KEY, Fixtures.formatModelSection('v2'));
@@ -78,13 +78,13 @@
     await node.stop();
   });
 
-  it('does not read everything again because a watch is a little late', async () => {
-    // Story: a burst of changes makes the platform's watches lag by half a second, and each change
-    // that does arrive brings a confirming read after 200 ms. A reader that took two of them in a row
-    // for a gap would add a read of the whole document to each change.
+  it('does not read all records again when a watch is only slightly late', async () => {
+    // Failure: a burst of changes delays the platform's watches by half a second, and each change
+    // that arrives triggers a confirming read after 200 ms. If two such reads in a row were treated
+    // as a missed change, each change would cause a full read of the document.
     const clock = Kernel.createFakeClock();
     const platform = Platforms.createFakePlatform(clock);
-    const follower = SourceFollowers.createSourceFollower({
+    const watcher = SourceWatchers.createSourceWatcher({
       source: DocumentRecords.SECTION_SOURCE,
       store: platform.createStore(),
       clock,
@@ -92,22 +92,22 @@
       nextRandom: () => 0,
       applyRecords: () => undefined,
     });
-    await follower.readAll();
+    await watcher.readAll();
     platform.write(KEY, Fixtures.formatModelSection('v1'));
     const readsBefore = platform.getCalls().prefix;
     for (let count = 0; count < 5; count += 1) {
-      expect(await follower.checkRevision()).toEqual({ kind: 'confirmed', revision: 1 });
+      expect(await watcher.checkRevision()).toEqual({ kind: 'confirmed', revision: 1 });
       clock.delay(200);
     }
     expect(platform.getCalls().prefix).toEqual(readsBefore);
     clock.delay(600);
-    expect(await follower.checkRevision()).toEqual({ kind: 'confirmed', revision: 2 });
+    expect(await watcher.checkRevision()).toEqual({ kind: 'confirmed', revision: 2 });
     expect(platform.getCalls().prefix).toEqual(readsBefore + 1);
   });
 
-  it('does not go back when the platform comes back with old data', async () => {
-    // Story: the platform loses its disks and is restored from yesterday's backup. Its revisions are
-    // lower than what routers have, and its texts are what accepted changes had replaced.
+  it('does not revert when the platform returns with old data', async () => {
+    // Failure: the platform is restored from an old backup. Its revisions are lower than those of
+    // the routers, and its texts were replaced by accepted changes.
     const { clock, platform, node } = await startNode();
     const old = platform.get(KEY);
     const oldRevision = platform.getRevision();
@@ -120,9 +120,9 @@
     await node.stop();
   });
 
-  it('gives a router that starts late the last good text of a damaged section', async () => {
-    // Story: somebody overwrites a section past the commands and makes a mistake. Running routers keep
-    // the last good text; one that is replaced an hour later sees only the damaged one.
+  it('provides the last valid text of a damaged section to a router that starts later', async () => {
+    // Failure: a section is overwritten by an invalid text without the commands. Running routers
+    // keep the last valid text, but a router that starts later reads only the invalid one.
     const { clock, platform, node } = await startNode();
     const editor = DocumentEditors.createDocumentEditor({
       store: platform.createStore(),
@@ -145,7 +145,7 @@
     await Promise.all([node.stop(), late.stop()]);
   });
 
-  it('takes a removed key as an emptied section', async () => {
+  it('treats a removed key as an empty section', async () => {
     const { clock, platform, node } = await startNode();
     platform.remove(KEY);
     await clock.runFor(10);
@@ -153,9 +153,9 @@
     await node.stop();
   });
 
-  it('keeps working when each call takes most of a second', async () => {
-    // Story: the platform is slow, not down. Leases are still refreshed in time and a change is
-    // still in force within the eight seconds that were promised.
+  it('keeps the reader role and applies changes when each call takes 800 ms', async () => {
+    // Failure: the platform is slow but available. Leases must still be renewed in time, and a
+    // change must still take effect within eight seconds.
     const { clock, platform, node } = await startNode();
     platform.faults.latencyMs = 800;
     await clock.runFor(20_000);
--- a/packages/sequoiarill-plugin-platform/src/__tests__/documentChecks.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/documentChecks.test.ts
@@ -23,8 +23,8 @@
 const ENGINE = { address: '10.0.0.1:80', models: ['advisor'], slots: 8 };
 const VM = { zone: 'z1', engines: { 'engine-1': ENGINE } };
 
-describe('checks over the whole document', () => {
-  it('finds names that two sections claim', () => {
+describe('checks of the full document', () => {
+  it('finds names that are defined by two sections', () => {
     const key = { id: 'k1', salt: '00', hash: '0'.repeat(64) };
     const document = createDocument({
       a: {
@@ -49,7 +49,7 @@
     ]);
   });
 
-  it('refuses a change that takes away what another section uses', () => {
+  it('rejects a change that removes a name used by another section', () => {
     const document = createDocument({
       a: { models: { advisor: MODEL } },
       b: { vms: { 'vm-1': VM } },
@@ -59,12 +59,12 @@
     ]);
   });
 
-  it('does not hold faults of other sections against a change', () => {
+  it('accepts a change despite existing faults of other sections', () => {
     const document = createDocument({ a: { organisations: { shop: { models: ['ghost'] } } } });
     expect(listFaults(document, 'b', { models: { advisor: MODEL } })).toEqual([]);
   });
 
-  it('refuses a limit above what all engines can hold, but not the removal of engines', () => {
+  it('rejects a limit above the capacity of all engines, but not the removal of engines', () => {
     const shop = { models: ['advisor'], limits: { concurrentRequests: 33 } };
     const document = createDocument({
       models: { models: { advisor: MODEL } },
@@ -77,7 +77,7 @@
     expect(listFaults(document, 'vms', {})).toEqual([]);
   });
 
-  it('tells what one file has wrong by itself', () => {
+  it('finds faults of a file that do not depend on other sections', () => {
     const text = JSON.stringify({
       models: { small: { version: 'v1', contextTokens: 100 } },
       vms: { 'vm-1': VM, 'vm-2': VM },
@@ -91,7 +91,7 @@
     );
   });
 
-  it('refuses text that is no JSON and text that is too long', () => {
+  it('rejects invalid JSON and text that is too long', () => {
     const [bad] = DocumentReader.checkStandalone('{', 'x.json', 'x');
     expect(bad?.reason.startsWith('no valid JSON')).toEqual(true);
     const [long] = DocumentReader.checkStandalone(' '.repeat(600_001), 'x.json', 'x');
--- a/packages/sequoiarill-plugin-platform/src/__tests__/documentEditor.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/documentEditor.test.ts
@@ -12,7 +12,7 @@
 
 const KEY = `${StoredSection.SECTIONS_PREFIX}models`;
 
-/** Time passes at once: what is tested is the order of calls. */
+/** Uses a clock that does not wait, because these tests depend only on the order of calls. */
 function createEditing() {
   const clock = { ...Kernel.createFakeClock(), waitMs: () => Promise.resolve() };
   const platform = Platforms.createFakePlatform(clock);
@@ -30,7 +30,9 @@
   return { section, text: Fixtures.formatModelSection(version, name), file: `${section}.json` };
 }
 
-/** A store that runs something right before one transaction, as a racing operator would. */
+/**
+ * Creates a store that calls `run` right before its first transaction, like a concurrent operator.
+ */
 function createRacedStore(store: PlatformStore, run: () => Promise<unknown>): PlatformStore {
   let isRun = false;
   return {
@@ -46,7 +48,7 @@
 }
 
 describe('editing a section', () => {
-  it('writes a checked section and tells its revision', async () => {
+  it('writes a valid section and returns its revision', async () => {
     const { platform, createEditor } = createEditing();
     const outcome = await createEditor('ann').putSection(createEdit('v1'));
     expect(outcome).toEqual({ kind: 'written', revision: platform.get(KEY)?.revision ?? -1 });
@@ -54,7 +56,7 @@
     expect(again.kind).toEqual('unchanged');
   });
 
-  it('refuses a section with faults by file, section, key and reason, and changes nothing', async () => {
+  it('rejects an invalid section with file, section, key and reason, and writes nothing', async () => {
     const { platform, createEditor } = createEditing();
     const text = JSON.stringify({
       organisations: { shop: { models: ['ghost'], weight: -1 } },
@@ -84,9 +86,9 @@
     expect(platform.getCalls().write).toEqual(0);
   });
 
-  it('lets one of two operators on one section win and shows the other the difference', async () => {
-    // Story: two colleagues edit their team's section at once. Without a comparison the second write
-    // would silently take the first one back, although it was accepted and in force.
+  it('accepts one of two concurrent edits of a section and shows the difference to the other operator', async () => {
+    // Failure: two operators edit the same section concurrently. Without a comparison, the second
+    // write would silently revert the first, although it was accepted and in effect.
     const { platform, createEditor } = createEditing();
     await createEditor('ann').putSection(createEdit('v1'));
     const raced = createRacedStore(platform.createStore(), () =>
@@ -100,7 +102,7 @@
     });
   });
 
-  it('lets two operators on two sections both win', async () => {
+  it('accepts concurrent edits of two sections', async () => {
     const { platform, createEditor } = createEditing();
     const raced = createRacedStore(platform.createStore(), () =>
       createEditor('ann').putSection(createEdit('v1', 'first', 'one')),
@@ -110,9 +112,9 @@
     expect(platform.get('sections/first') === undefined).toEqual(false);
   });
 
-  it('lets twenty operators on twenty sections all win', async () => {
-    // Story: at nine in the morning many teams edit at once. Each accepted edit makes the attempts of
-    // all others fail; reading and checking everything anew each time, nobody would get through.
+  it('accepts concurrent edits of twenty sections', async () => {
+    // Failure: many teams edit at the same time. Each accepted edit fails the attempts of all
+    // others; if each attempt read and checked the full document again, none would succeed.
     const { platform, createEditor } = createEditing();
     const outcomes = await Promise.all(
       Array.from({ length: 20 }, (unused, index) =>
@@ -122,13 +124,13 @@
       ),
     );
     expect(outcomes.map(({ kind }) => kind)).toEqual(Array.from({ length: 20 }, () => 'written'));
-    // Each attempt after the first reads the marker, the changed keys and what changed.
+    // Each attempt after the first reads the marker, the changed keys and the changed sections.
     expect(platform.getCalls().read <= 20 * 20 * 4).toEqual(true);
   });
 
-  it('refuses the second of two sections that claim one name at the same moment', async () => {
-    // Story: two teams add a model of the same name. Each text is right next to the document that
-    // its editor read, and both writes would pass a comparison of their own section alone.
+  it('rejects the second of two concurrent edits that define the same name', async () => {
+    // Failure: two teams add a model of the same name. Each text is valid against the document that
+    // its editor read, and each write would pass if only its own section were compared.
     const { platform, createEditor } = createEditing();
     const raced = createRacedStore(platform.createStore(), () =>
       createEditor('ann').putSection(createEdit('v1', 'first')),
@@ -138,23 +140,23 @@
     expect(platform.get('sections/second')).toEqual(undefined);
   });
 
-  it('finds out a write whose answer was lost and writes it once', async () => {
-    // Story: the platform applies the edit and the answer is lost. Sending it again as new would
-    // fill the history with copies, or undo what a colleague wrote in between.
+  it('detects a write whose response was lost and does not repeat it', async () => {
+    // Failure: the platform applies the edit and the response is lost. Writing it again as a new
+    // edit would duplicate history entries, or revert what another operator wrote in between.
     const { platform, createEditor } = createEditing();
-    platform.faults.lostAnswers = 1;
+    platform.faults.lostResponses = 1;
     const outcome = await createEditor('ann').putSection(createEdit('v1'));
     expect(outcome).toEqual({ kind: 'written', revision: platform.get(KEY)?.revision ?? -1 });
     expect(platform.getCalls().write).toEqual(1);
   });
 
-  it('finds out a lost write that a colleague has replaced since', async () => {
+  it('detects a write whose response was lost after another operator replaced it', async () => {
     const { platform, createEditor } = createEditing();
     const store = platform.createStore();
     const editor = createEditor('ann', {
       ...store,
       async writeTransaction(transaction) {
-        platform.faults.lostAnswers = 1;
+        platform.faults.lostResponses = 1;
         const outcome = await store.writeTransaction(transaction);
         await createEditor('bob').putSection(createEdit('v2'));
         return outcome;
@@ -166,15 +168,15 @@
     expect(outcome).toEqual({ kind: 'written', revision: history?.[0]?.revision ?? -1 });
   });
 
-  it('says unknown when the answer was lost and the platform is then away', async () => {
+  it('reports an unknown outcome when the response was lost and an outage follows', async () => {
     const { platform, createEditor } = createEditing();
     const store = platform.createStore();
     const editor = createEditor('ann', {
       ...store,
       async writeTransaction(transaction) {
-        platform.faults.lostAnswers = 1;
+        platform.faults.lostResponses = 1;
         const outcome = await store.writeTransaction(transaction);
-        platform.faults.isAway = true;
+        platform.faults.isDown = true;
         return outcome;
       },
     });
@@ -182,7 +184,7 @@
     expect((await editor.putSection(createEdit('v2'))).kind).toEqual('unavailable');
   });
 
-  it('writes only over the revision that the operator names', async () => {
+  it('writes only over the revision that the operator specifies', async () => {
     const { createEditor } = createEditing();
     const first = await createEditor('ann').putSection(createEdit('v1'));
     const revision = first.kind === 'written' ? first.revision : -1;
@@ -196,7 +198,7 @@
 });
 
 describe('history of a section', () => {
-  it('reverts forward, as a new revision', async () => {
+  it('reverts to an earlier text by a new revision', async () => {
     const { createEditor } = createEditing();
     const editor = createEditor('ann');
     const first = await editor.putSection(createEdit('v1'));
@@ -209,9 +211,9 @@
     expect((await editor.revertSection('models', 1)).kind).toEqual('noSuchRevision');
   });
 
-  it('does not revert over an edit that came in between', async () => {
-    // Story: one operator reverts a bad change while another mends it. The revert was decided on
-    // the bad text and must not take the mended one back.
+  it('does not revert over a concurrent edit', async () => {
+    // Failure: one operator reverts a faulty change while another corrects it. The revert was based
+    // on the faulty text and must not overwrite the corrected one.
     const { platform, createEditor } = createEditing();
     const first = await createEditor('ann').putSection(createEdit('v1'));
     await createEditor('ann').putSection(createEdit('bad'));
@@ -222,7 +224,7 @@
     expect((await createEditor('ann', raced).revertSection('models', to)).kind).toEqual('conflict');
   });
 
-  it('keeps a text that was there before the commands were used', async () => {
+  it('contains a text that was written without the commands', async () => {
     const { platform, createEditor } = createEditing();
     const revision = platform.write(KEY, Fixtures.formatModelSection('plain'));
     const editor = createEditor('ann');
@@ -232,7 +234,7 @@
     expect(history?.[0]?.revision).toEqual(revision);
   });
 
-  it('leaves out entries that were damaged', async () => {
+  it('skips damaged entries', async () => {
     const { platform, createEditor } = createEditing();
     const editor = createEditor('ann');
     await editor.putSection(createEdit('v1'));
@@ -241,7 +243,7 @@
     expect((await editor.listHistory('models'))?.length).toEqual(1);
   });
 
-  it('stays bounded', async () => {
+  it('is limited to 50 entries', async () => {
     const { createEditor } = createEditing();
     const editor = createEditor('ann');
     for (let count = 0; count < 60; count += 1) await editor.putSection(createEdit(`v${count}`));
--- a/packages/sequoiarill-plugin-platform/src/__tests__/fakePlatform.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/fakePlatform.ts
@@ -1,6 +1,6 @@
 /**
- * A small key-value service in memory: revisions, compare-and-swap, leases and watches, with
- * switches for the faults that the real one shows. Several stores may use one platform.
+ * In-memory key-value service with revisions, compare-and-swap, leases, watches and injectable
+ * faults. Several stores can use one platform.
  */
 import type {
   Clock,
@@ -15,7 +15,7 @@
 
 import type { PlatformStore } from '../keyValueStore';
 
-interface Stored extends KeyValueEntry {
+interface StoredEntry extends KeyValueEntry {
   readonly leaseId?: string;
 }
 
@@ -27,15 +27,15 @@
 interface Watcher {
   readonly prefix: string;
   readonly events: WatchEvent[];
-  wake: () => void;
+  notify: () => void;
 }
 
-/** What goes wrong with the calls; a test changes them while it runs. */
+/** Injected faults. A test can change them at any time. */
 export interface Faults {
-  isAway: boolean;
-  /** Writes from now on take effect, and their answers are lost. */
-  lostAnswers: number;
-  /** Watches stay open and deliver nothing. */
+  isDown: boolean;
+  /** Number of writes from now on that take effect while their responses are lost. */
+  lostResponses: number;
+  /** Watches stay open but deliver nothing. */
   isWatchSilent: boolean;
   latencyMs: number;
 }
@@ -47,22 +47,27 @@
   readonly remove: (key: string) => number;
   readonly get: (key: string) => KeyValueEntry | undefined;
   readonly getRevision: () => number;
-  /** Forgets all changes up to now; watches from before it end with a gap. */
+  /** Discards all past changes. Watches from an earlier revision end as compacted. */
   readonly compact: () => void;
   readonly closeWatches: () => void;
-  /** Goes back to an older state, as after a backup was restored. */
+  /** Reverts to an older state, as when a backup is restored. */
   readonly restore: (revision: number, entries: readonly KeyValueEntry[]) => void;
-  /** `prefix` counts the reads of everything below a prefix, which are among the reads. */
+  /** `prefix` counts full reads of a prefix, which are also included in `read`. */
   readonly getCalls: () => Readonly<Record<'read' | 'write' | 'watch' | 'prefix', number>>;
 }
 
 const MS_PER_SECOND = 1_000;
-const AWAY: KeyValueUnavailable = { kind: 'unavailable', message: 'connection refused' };
-const LOST: KeyValueUnknown = { kind: 'unknown', message: 'connection reset' };
+const OUTAGE: KeyValueUnavailable = { kind: 'unavailable', message: 'connection refused' };
+const RESPONSE_LOST: KeyValueUnknown = { kind: 'unknown', message: 'connection reset' };
 
 export function createFakePlatform(clock: Clock): FakePlatform {
-  const faults: Faults = { isAway: false, lostAnswers: 0, isWatchSilent: false, latencyMs: 0 };
-  const entries = new Map<string, Stored>();
+  const faults: Faults = {
+    isDown: false,
+    lostResponses: 0,
+    isWatchSilent: false,
+    latencyMs: 0,
+  };
+  const entries = new Map<string, StoredEntry>();
   const leases = new Map<string, Lease>();
   const calls = { read: 0, write: 0, watch: 0, prefix: 0 };
   let log: KeyChange[] = [];
@@ -77,7 +82,7 @@
     watchers.forEach((watcher) => {
       const seen = changes.filter((change) => change.key.startsWith(watcher.prefix));
       if (seen.length > 0) watcher.events.push({ kind: 'changes', revision, changes: seen });
-      watcher.wake();
+      watcher.notify();
     });
   }
 
@@ -88,7 +93,7 @@
       return { key, revision };
     }
     const createRevision = entries.get(key)?.createRevision ?? revision;
-    const entry: Stored = {
+    const entry: StoredEntry = {
       key,
       value,
       revision,
@@ -111,47 +116,47 @@
     if (keys.length > 0) applyWrites(keys.map(({ key }) => ({ key })));
   }
 
-  function removeExpired(): void {
+  function removeExpiredLeases(): void {
     for (const [leaseId, lease] of leases) {
       if (lease.expiresMs <= clock.getNowMs()) removeLease(leaseId);
     }
   }
 
-  /** Counts a call, lets its time pass and tells whether it arrives. */
+  /** Counts a call, waits for its latency and returns whether it succeeds. */
   async function startCall(kind: 'read' | 'write' | 'watch'): Promise<boolean> {
     calls[kind] += 1;
     if (faults.latencyMs > 0) await clock.waitMs(faults.latencyMs);
     else await Promise.resolve();
-    removeExpired();
-    return !faults.isAway;
+    removeExpiredLeases();
+    return !faults.isDown;
   }
 
-  function takeLoss(): boolean {
-    if (faults.lostAnswers === 0) return false;
-    faults.lostAnswers -= 1;
+  function takeLostResponse(): boolean {
+    if (faults.lostResponses === 0) return false;
+    faults.lostResponses -= 1;
     return true;
   }
 
-  function listEntries(filter: (entry: Stored) => boolean): readonly KeyValueEntry[] {
+  function listEntries(filter: (entry: StoredEntry) => boolean): readonly KeyValueEntry[] {
     return [...entries.values()]
       .filter(filter)
       .sort((left, right) => (left.key < right.key ? -1 : 1));
   }
 
-  async function readRange(filter: (entry: Stored) => boolean) {
-    if (!(await startCall('read'))) return AWAY;
+  async function readRange(filter: (entry: StoredEntry) => boolean) {
+    if (!(await startCall('read'))) return OUTAGE;
     return { kind: 'range', revision, entries: listEntries(filter) } as const;
   }
 
   async function writeTransaction({ comparisons, writes }: KeyTransaction) {
-    if (!(await startCall('write'))) return AWAY;
-    // The real service refuses a key under a lease that no longer exists.
-    if (writes.some(({ leaseId }) => leaseId !== undefined && !leases.has(leaseId))) return AWAY;
+    if (!(await startCall('write'))) return OUTAGE;
+    // The real service rejects a key whose lease no longer exists.
+    if (writes.some(({ leaseId }) => leaseId !== undefined && !leases.has(leaseId))) return OUTAGE;
     const isEqual = comparisons.every(
       ({ key, revision: wanted }) => (entries.get(key)?.revision ?? 0) === wanted,
     );
     if (isEqual) applyWrites(writes);
-    if (takeLoss()) return LOST;
+    if (takeLostResponse()) return RESPONSE_LOST;
     if (isEqual) return { kind: 'written', revision } as const;
     const keys = new Set(comparisons.map(({ key }) => key));
     return {
@@ -170,46 +175,46 @@
     const past = log.filter(
       (change) => change.key.startsWith(prefix) && change.revision >= fromRevision,
     );
-    const watcher: Watcher = { prefix, events: [], wake: () => undefined };
+    const watcher: Watcher = { prefix, events: [], notify: () => undefined };
     const last = past.at(-1);
     if (last !== undefined && !faults.isWatchSilent) {
       watcher.events.push({ kind: 'changes', revision: last.revision, changes: past });
     }
     watchers = [...watchers, watcher];
-    signal.addEventListener('abort', () => watcher.wake(), { once: true });
+    signal.addEventListener('abort', () => watcher.notify(), { once: true });
     while (!signal.aborted && watchers.includes(watcher)) {
       const event = watcher.events.shift();
       if (event !== undefined) yield event;
       else {
         await new Promise<void>((resolve) => {
-          watcher.wake = resolve;
+          watcher.notify = resolve;
         });
       }
     }
     watchers = watchers.filter((other) => other !== watcher);
   }
 
-  async function createLease(ttlSeconds: number) {
-    if (!(await startCall('write'))) return AWAY;
+  async function grantLease(ttlSeconds: number) {
+    if (!(await startCall('write'))) return OUTAGE;
     const leaseId = String(nextLease);
     nextLease += 1;
     leases.set(leaseId, { ttlSeconds, expiresMs: clock.getNowMs() + ttlSeconds * MS_PER_SECOND });
-    return takeLoss() ? LOST : ({ kind: 'granted', leaseId, ttlSeconds } as const);
+    return takeLostResponse() ? RESPONSE_LOST : ({ kind: 'granted', leaseId, ttlSeconds } as const);
   }
 
-  async function updateLease(leaseId: string) {
-    if (!(await startCall('write'))) return AWAY;
+  async function renewLease(leaseId: string) {
+    if (!(await startCall('write'))) return OUTAGE;
     const lease = leases.get(leaseId);
     if (lease === undefined) return { kind: 'expired' } as const;
     const { ttlSeconds } = lease;
     leases.set(leaseId, { ttlSeconds, expiresMs: clock.getNowMs() + ttlSeconds * MS_PER_SECOND });
-    return takeLoss() ? AWAY : ({ kind: 'granted', leaseId, ttlSeconds } as const);
+    return takeLostResponse() ? OUTAGE : ({ kind: 'granted', leaseId, ttlSeconds } as const);
   }
 
   function closeWatches(): void {
     const closed = watchers;
     watchers = [];
-    closed.forEach((watcher) => watcher.wake());
+    closed.forEach((watcher) => watcher.notify());
   }
 
   return {
@@ -227,8 +232,8 @@
       readChangedKeys: (prefix, after) =>
         readRange((entry) => entry.key.startsWith(prefix) && entry.revision > after),
       writeTransaction,
-      grantLease: createLease,
-      refreshLease: updateLease,
+      grantLease,
+      refreshLease: renewLease,
       async revokeLease(leaseId) {
         if (await startCall('write')) removeLease(leaseId);
       },
@@ -243,11 +248,11 @@
       log = [];
     },
     closeWatches,
-    restore(older, restored) {
+    restore(olderRevision, restored) {
       entries.clear();
       restored.forEach((entry) => entries.set(entry.key, entry));
       log = [];
-      revision = older;
+      revision = olderRevision;
       closeWatches();
     },
     getCalls: () => ({ ...calls }),
--- a/packages/sequoiarill-plugin-platform/src/__tests__/fixtures.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/fixtures.ts
@@ -1,12 +1,12 @@
-/** Parts that several suites need: silent kernel services, random numbers, small section texts. */
+/** Shared fixtures: no-op metrics, seeded random numbers, small section texts, and routers. */
 import type { Clock, EventDefinition, Metrics } from '@sequoiarill/types';
 import * as Distribution from 'pure-rand/distribution/uniformFloat64';
 import * as Generator from 'pure-rand/generator/xoroshiro128plus';
 
-import * as News from '../configurationNews';
-import * as FollowedConfigurations from '../followedConfiguration';
-import type { FollowedConfiguration } from '../followedConfiguration';
-import type { ReaderMode } from '../readerDuty';
+import * as Announcements from '../announcementStore';
+import * as ConfigurationSyncs from '../configurationSync';
+import type { ConfigurationSync } from '../configurationSync';
+import type { ReaderMode } from '../readerRole';
 import type { FakePlatform } from './fakePlatform';
 
 export const SILENT_METRICS: Metrics = {
@@ -20,15 +20,15 @@
   return () => Distribution.uniformFloat64(generator);
 }
 
-/** A section with one model, which is enough to tell texts apart by version. */
+/** Formats a section with one model, whose version distinguishes the texts. */
 export function formatModelSection(version: string, name = 'advisor'): string {
   return JSON.stringify({ models: { [name]: { version, contextTokens: 10_000 } } });
 }
 
-export interface Node extends FollowedConfiguration {
+export interface Node extends ConfigurationSync {
   readonly name: string;
   readonly events: EventDefinition[];
-  /** Ends the node as a kill does: it gives back no lease. */
+  /** Stops the node and waits for its end, which includes the release of its lease. */
   readonly stop: () => Promise<void>;
   readonly start: () => void;
   readonly getVersion: (model?: string) => string | undefined;
@@ -43,11 +43,11 @@
   readonly mode?: ReaderMode;
 }
 
-/** One router's part in following the configuration. */
+/** Creates the configuration sync of one router. */
 export function createNode(options: NodeOptions): Node {
   const { platform, clock, name, zone = 'z1', seed = 1, mode = 'auto' } = options;
   const events: EventDefinition[] = [];
-  const followed = FollowedConfigurations.createFollowedConfiguration({
+  const sync = ConfigurationSyncs.createConfigurationSync({
     process: { name, zone },
     mode,
     store: platform.createStore(),
@@ -59,29 +59,29 @@
   const stopping = new AbortController();
   let running: Promise<void> | undefined;
   return {
-    ...followed,
+    ...sync,
     name,
     events,
     start() {
-      running = followed.run(stopping.signal);
+      running = sync.run(stopping.signal);
     },
     async stop() {
       stopping.abort();
       await running;
     },
-    getVersion: (model = 'advisor') => followed.state.getConfiguration().models.get(model)?.version,
+    getVersion: (model = 'advisor') => sync.state.getConfiguration().models.get(model)?.version,
   };
 }
 
-/** What the membership plug-in does between routers: passes on what the other lacks. */
-export function mergeNodes(nodes: readonly Node[]): void {
+/** Replicates the configuration between nodes, as the membership plug-in does between routers. */
+export function relayConfiguration(nodes: readonly Node[]): void {
   for (const from of nodes) {
     for (const to of nodes) {
-      const news = from.state.getAnnouncement();
+      const sent = from.state.getAnnouncement();
       const own = to.state.getAnnouncement();
-      if (news.revision > own.revision) {
-        to.state.mergeSections(news, from.state.listSectionsAfter(own.revision));
-      } else if (News.compareNews(news, own) > 0) to.state.mergeSections(news, []);
+      if (sent.revision > own.revision) {
+        to.state.mergeSections(sent, from.state.listSectionsAfter(own.revision));
+      } else if (Announcements.compareRecency(sent, own) > 0) to.state.mergeSections(sent, []);
     }
   }
 }
--- a/packages/sequoiarill-plugin-platform/src/__tests__/model.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/interleavings.test.ts
@@ -1,6 +1,6 @@
 /**
- * Leases and edits under many interleavings. Seeds are fixed; one that finds a fault is added to the
- * list and stays there.
+ * Property-based tests of leases and edits under many interleavings. Seeds are fixed. A seed that
+ * finds a fault is added to the list permanently.
  */
 import { describe, it } from 'node:test';
 
@@ -12,8 +12,8 @@
 import * as DocumentEditors from '../documentEditor';
 import type { EditOutcome } from '../documentEditor';
 import type { PlatformStore } from '../keyValueStore';
-import * as LeaseKeepers from '../leaseKeeper';
-import type { LeaseKeeper } from '../leaseKeeper';
+import * as LeaderElections from '../leaderElection';
+import type { LeaderElection } from '../leaderElection';
 import * as Platforms from './fakePlatform';
 import type { FakePlatform } from './fakePlatform';
 import * as Fixtures from './fixtures';
@@ -21,17 +21,17 @@
 const SEEDS = [11, 42, 20_261_203];
 const RUNS = 50;
 const KEY = 'duties/z1/reader';
-const KEEPERS = 3;
-/** Time is moved in steps this long, with a look at the invariants after each. */
+const CANDIDATES = 3;
+/** The clock advances in steps of this length, and the invariants are checked after each. */
 const STEP_MS = 100;
 
 type LeaseStep =
   | { readonly kind: 'pass'; readonly ms: number }
-  | { readonly kind: 'pause' | 'resume' | 'release'; readonly keeper: number }
+  | { readonly kind: 'pause' | 'resume' | 'release'; readonly candidate: number }
   | { readonly kind: 'away' | 'back' | 'lose' }
   | { readonly kind: 'slow'; readonly ms: number };
 
-const keeperIndex = FastCheck.integer({ min: 0, max: KEEPERS - 1 });
+const candidateIndex = FastCheck.integer({ min: 0, max: CANDIDATES - 1 });
 const leaseStep: FastCheck.Arbitrary<LeaseStep> = FastCheck.oneof(
   {
     weight: 5,
@@ -44,7 +44,7 @@
     weight: 4,
     arbitrary: FastCheck.record({
       kind: FastCheck.constantFrom('pause' as const, 'resume' as const, 'release' as const),
-      keeper: keeperIndex,
+      candidate: candidateIndex,
     }),
   },
   {
@@ -62,25 +62,25 @@
   },
 );
 
-interface Actor {
-  readonly keeper: LeaseKeeper;
+interface Candidate {
+  readonly election: LeaderElection;
   readonly pause: () => void;
   readonly resume: () => void;
   readonly stop: () => void;
 }
 
-/** One process that wants the duty all the time, and can be stopped in the midst of any call. */
-function startActor(platform: FakePlatform, clock: Kernel.FakeClock, index: number): Actor {
+/** Starts a process that always competes for the role, and that can be paused during any call. */
+function startCandidate(platform: FakePlatform, clock: Kernel.FakeClock, index: number): Candidate {
   const store = platform.createStore();
   const stopping = new AbortController();
   let gate = Promise.resolve();
   let openGate = () => undefined as void;
 
-  /** Answers reach a paused process only when it goes on. */
-  async function delayWhilePaused<Answer>(call: Promise<Answer>): Promise<Answer> {
-    const answer = await call;
+  /** Delays a response to a paused process until it resumes. */
+  async function delayWhilePaused<Result>(call: Promise<Result>): Promise<Result> {
+    const result = await call;
     await gate;
-    return answer;
+    return result;
   }
 
   const slowedStore: KeyValueStore = {
@@ -94,7 +94,7 @@
     ...clock,
     waitMs: (ms: number, signal?: AbortSignal) => delayWhilePaused(clock.waitMs(ms, signal)),
   };
-  const keeper = LeaseKeepers.createLeaseKeeper({
+  const election = LeaderElections.createLeaderElection({
     store: slowedStore,
     clock: ownClock,
     nextRandom: Fixtures.createRandom(index + 1),
@@ -105,15 +105,15 @@
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
-      const outcome = await keeper.reserveDuty();
-      if (outcome.kind === 'held') await keeper.runRefreshes(stopping.signal);
+      const outcome = await election.acquireLeadership();
+      if (outcome.kind === 'held') await election.runRenewals(stopping.signal);
       await ownClock.waitMs(500 + index * 10, stopping.signal);
     }
   }
 
   run();
   return {
-    keeper,
+    election,
     pause() {
       openGate();
       gate = new Promise((resolve) => {
@@ -128,22 +128,22 @@
   };
 }
 
-/** Two holders at once, or a holder whose key is not in the platform, would break the duty. */
-function checkDuty(platform: FakePlatform, actors: readonly Actor[]): void {
-  const fences = actors
-    .filter(({ keeper }) => keeper.isHolder())
-    .map(({ keeper }) => keeper.getFence());
-  if (fences.length > 1) throw new Error(`two holders: ${fences.join(', ')}`);
-  const [fence] = fences;
+/** Throws if there are two leaders, or a leader whose key is not stored in the platform. */
+function checkLeadership(platform: FakePlatform, candidates: readonly Candidate[]): void {
+  const fencingNumbers = candidates
+    .filter(({ election }) => election.isLeader())
+    .map(({ election }) => election.getFencingNumber());
+  if (fencingNumbers.length > 1) throw new Error(`two leaders: ${fencingNumbers.join(', ')}`);
+  const [fencingNumber] = fencingNumbers;
   const stored = platform.get(KEY)?.createRevision;
-  if (fence !== undefined && fence !== stored) {
-    throw new Error(`${fence} holds, ${stored} is stored`);
+  if (fencingNumber !== undefined && fencingNumber !== stored) {
+    throw new Error(`the leader has number ${fencingNumber}, but ${stored} is stored`);
   }
 }
 
 function applyFault(platform: FakePlatform, step: LeaseStep): void {
-  if (step.kind === 'away' || step.kind === 'back') platform.faults.isAway = step.kind === 'away';
-  if (step.kind === 'lose') platform.faults.lostAnswers = 1;
+  if (step.kind === 'away' || step.kind === 'back') platform.faults.isDown = step.kind === 'away';
+  if (step.kind === 'lose') platform.faults.lostResponses = 1;
   if (step.kind === 'slow') platform.faults.latencyMs = step.ms;
 }
 
@@ -151,44 +151,44 @@
   step: LeaseStep,
   platform: FakePlatform,
   clock: Kernel.FakeClock,
-  actors: readonly Actor[],
+  candidates: readonly Candidate[],
 ): Promise<void> {
   if (step.kind === 'pass') {
     for (let count = 0; count < step.ms; count += 1) {
       await clock.runFor(STEP_MS);
-      checkDuty(platform, actors);
+      checkLeadership(platform, candidates);
     }
-  } else if (step.kind === 'release') actors[step.keeper]?.keeper.releaseDuty();
-  else if (step.kind === 'pause') actors[step.keeper]?.pause();
-  else if (step.kind === 'resume') actors[step.keeper]?.resume();
+  } else if (step.kind === 'release') candidates[step.candidate]?.election.releaseLeadership();
+  else if (step.kind === 'pause') candidates[step.candidate]?.pause();
+  else if (step.kind === 'resume') candidates[step.candidate]?.resume();
   else applyFault(platform, step);
 }
 
 async function checkLeases(steps: readonly LeaseStep[]): Promise<void> {
   const clock = Kernel.createFakeClock();
   const platform = Platforms.createFakePlatform(clock);
-  const actors = Array.from({ length: KEEPERS }, (unused, index) =>
-    startActor(platform, clock, index),
+  const candidates = Array.from({ length: CANDIDATES }, (unused, index) =>
+    startCandidate(platform, clock, index),
   );
   for (const step of steps) {
-    await applyStep(step, platform, clock, actors);
-    checkDuty(platform, actors);
+    await applyStep(step, platform, clock, candidates);
+    checkLeadership(platform, candidates);
   }
-  // When all is well again somebody has the duty, and soon.
-  actors.forEach((actor) => actor.resume());
+  // Once all faults are cleared, a candidate must become the leader soon.
+  candidates.forEach((candidate) => candidate.resume());
   applyFault(platform, { kind: 'back' });
   applyFault(platform, { kind: 'slow', ms: 0 });
-  platform.faults.lostAnswers = 0;
+  platform.faults.lostResponses = 0;
   await clock.runFor(12_000);
-  checkDuty(platform, actors);
-  expect(actors.some(({ keeper }) => keeper.isHolder())).toEqual(true);
-  actors.forEach((actor) => actor.stop());
+  checkLeadership(platform, candidates);
+  expect(candidates.some(({ election }) => election.isLeader())).toEqual(true);
+  candidates.forEach((candidate) => candidate.stop());
   await clock.runFor(5_000);
 }
 
-type StoreAnswer<Name extends keyof PlatformStore> = ReturnType<PlatformStore[Name]>;
+type StoreResult<Name extends keyof PlatformStore> = ReturnType<PlatformStore[Name]>;
 
-/** Lets the scheduler decide when each call runs, and when its answer arrives. */
+/** Lets the scheduler decide when each call runs and when its response arrives. */
 function createScheduledStore(
   platform: FakePlatform,
   scheduler: FastCheck.Scheduler,
@@ -196,15 +196,15 @@
   const store = platform.createStore();
   async function delayCall<Result>(run: () => Promise<Result>): Promise<Result> {
     await scheduler.schedule(Promise.resolve(), 'sent');
-    const answer = await run();
+    const result = await run();
     await scheduler.schedule(Promise.resolve(), 'answered');
-    return answer;
+    return result;
   }
   return {
     ...store,
-    readKey: (key): StoreAnswer<'readKey'> => delayCall(() => store.readKey(key)),
-    readPrefix: (prefix): StoreAnswer<'readPrefix'> => delayCall(() => store.readPrefix(prefix)),
-    writeTransaction: (transaction): StoreAnswer<'writeTransaction'> =>
+    readKey: (key): StoreResult<'readKey'> => delayCall(() => store.readKey(key)),
+    readPrefix: (prefix): StoreResult<'readPrefix'> => delayCall(() => store.readPrefix(prefix)),
+    writeTransaction: (transaction): StoreResult<'writeTransaction'> =>
       delayCall(() => store.writeTransaction(transaction)),
   };
 }
@@ -239,14 +239,17 @@
   return outcomes;
 }
 
-/** Every write told as written is there once, and nothing is there that was told as not written. */
+/**
+ * Checks that each edit reported as written is stored exactly once, and that no other edit is
+ * stored unless its outcome was reported as unknown.
+ */
 async function checkEdits(
   scheduler: FastCheck.Scheduler,
   plans: readonly EditPlan[],
-  lostAnswers: number,
+  lostResponses: number,
 ): Promise<void> {
   const platform = Platforms.createFakePlatform(Kernel.createFakeClock());
-  platform.faults.lostAnswers = lostAnswers;
+  platform.faults.lostResponses = lostResponses;
   const running = plans.map((plan, index) =>
     runEditor(plan, `editor-${index}`, platform, scheduler),
   );
@@ -276,9 +279,10 @@
 
 describe('leases under interleavings', () => {
   for (const seed of SEEDS) {
-    it(`have one holder at a time (seed ${seed})`, async () => {
-      // Story: holders are stopped in the midst of calls, answers get lost, the platform is away or
-      // slow. Two routers that both believe to hold a duty would give contradicting orders.
+    it(`have one leader at a time (seed ${seed})`, async () => {
+      // Failure: leaders are paused during calls, responses are lost, the platform is unavailable
+      // or slow. Two routers that both consider themselves the leader would send contradictory
+      // commands.
       const steps = FastCheck.array(leaseStep, { minLength: 5, maxLength: 25 });
       await FastCheck.assert(FastCheck.asyncProperty(steps, checkLeases), { seed, numRuns: RUNS });
     });
@@ -287,9 +291,10 @@
 
 describe('edits under interleavings', () => {
   for (const seed of SEEDS) {
-    it(`are written once or not at all, as told (seed ${seed})`, async () => {
-      // Story: several operators edit two sections at once and answers get lost. An edit told as
-      // written that is gone, or told as refused that is in force, is an outage to find by hand.
+    it(`are written once or not at all, as reported (seed ${seed})`, async () => {
+      // Failure: several operators edit two sections concurrently and responses are lost. An edit
+      // that is reported as written but missing, or reported as failed but in effect, causes an
+      // outage whose cause has to be found manually.
       const property = FastCheck.asyncProperty(
         FastCheck.scheduler(),
         FastCheck.array(editPlan, { minLength: 2, maxLength: 4 }),
--- a/packages/sequoiarill-plugin-platform/src/__tests__/keyValueStore.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/keyValueStore.test.ts
@@ -7,8 +7,8 @@
 
 import * as CallCounters from '../callCounter';
 import type { CallCounter } from '../callCounter';
-import * as GatewayCallers from '../gatewayCaller';
-import type { GatewayCaller } from '../gatewayCaller';
+import * as GatewayClients from '../gatewayClient';
+import type { GatewayClient } from '../gatewayClient';
 import * as KeyValueStores from '../keyValueStore';
 import type { PlatformStore } from '../keyValueStore';
 import * as Fixtures from './fixtures';
@@ -16,7 +16,7 @@
 interface Reply {
   readonly status?: number;
   readonly lines: readonly unknown[];
-  /** Breaks the connection after the request was read, before or after the lines. */
+  /** Closes the connection after the request was read, before or after sending the lines. */
   readonly isCut?: boolean;
 }
 
@@ -49,7 +49,7 @@
   else response.end(text);
 }
 
-/** A gateway that answers each call with what the test decides, over a real socket. */
+/** Starts a gateway on a real socket that sends the replies of `decide`. */
 async function startGateway(decide: (call: Call) => Reply): Promise<[string, Call[]]> {
   const calls: Call[] = [];
   const server = Http.createServer((request, response) => {
@@ -76,9 +76,9 @@
 
 function createStore(
   endpoints: readonly string[],
-  extra: Partial<GatewayCallers.GatewayOptions> = {},
+  extra: Partial<GatewayClients.GatewayClientOptions> = {},
 ): Omit<Fixture, 'calls'> {
-  const gateway: GatewayCaller = GatewayCallers.createGatewayCaller({
+  const gateway: GatewayClient = GatewayClients.createGatewayClient({
     endpoints,
     callTimeoutMs: 5_000,
     ...extra,
@@ -110,7 +110,7 @@
     for (const close of closers.splice(0)) await close();
   });
 
-  it('reads a prefix page by page and tells the revision of the first', async () => {
+  it('reads a prefix page by page and returns the revision of the first page', async () => {
     const second = { ...KV, key: encode('/t/b') };
     const { store, calls, counter } = await startFixture(({ body }) => {
       const isFirst = body.key === encode('/t/');
@@ -129,17 +129,17 @@
     expect(counter.getCounts()).toEqual({ read: 2, write: 0, watch: 0 });
   });
 
-  it('asks for smaller pages when an answer is longer than the bound', async () => {
+  it('requests smaller pages when a response exceeds the size limit', async () => {
     const [endpoint, calls] = await startGateway(({ body }) => {
       const value = Number(body.limit) > 300 ? 'x'.repeat(10_000) : '';
       return { lines: [{ header: { revision: '9' }, kvs: [{ ...KV, value }] }] };
     });
-    const { store } = createStore([endpoint], { maxAnswerBytes: 5_000 });
+    const { store } = createStore([endpoint], { maxResponseBytes: 5_000 });
     expect((await store.readPrefix('')).kind).toEqual('range');
     expect(calls.map(({ body }) => body.limit)).toEqual(['1000', '500', '250']);
   });
 
-  it('writes with compare-and-swap and tells the current entry on a conflict', async () => {
+  it('writes with compare-and-swap and returns the current entry on a conflict', async () => {
     let isFree = true;
     const { store, calls } = await startFixture(() => {
       const succeeded = isFree;
@@ -159,10 +159,10 @@
     });
   });
 
-  it('tells a write that took no effect from one whose answer was lost', async () => {
-    // Story: an operator's edit is sent, the platform applies it, and the connection breaks before
-    // the answer. Telling it as failed would make the operator send it twice; a refused connection,
-    // in contrast, surely changed nothing.
+  it('distinguishes a write without effect from one whose response was lost', async () => {
+    // Failure: the platform applies an operator's edit, and the connection breaks before the
+    // response. Reported as failed, the operator would send the edit twice. A refused connection,
+    // in contrast, certainly changed nothing.
     const cut = await startFixture(() => ({ lines: [], isCut: true }));
     expect((await cut.store.writeTransaction(WRITE)).kind).toEqual('unknown');
     const broken = await startFixture(() => ({ status: 503, lines: [{ code: 14 }] }));
@@ -175,7 +175,7 @@
     expect((await store.writeTransaction(WRITE)).kind).toEqual('unavailable');
   });
 
-  it('goes on with the next endpoint when the first takes no connection', async () => {
+  it('fails over to the next endpoint when the first refuses connections', async () => {
     const [closedEndpoint] = await startGateway(() => ({ lines: [] }));
     await closers.pop()?.();
     const [endpoint] = await startGateway(() => ({ lines: [{ header: { revision: '4' } }] }));
@@ -183,7 +183,7 @@
     expect(await store.readKey('a')).toEqual({ kind: 'range', revision: 4, entries: [] });
   });
 
-  it('grants, refreshes and loses leases', async () => {
+  it('grants and refreshes leases, and detects expired ones', async () => {
     let ttl = '4';
     const { store } = await startFixture(({ path }) => {
       const lease = { ID: '7587862094130100002', TTL: ttl };
@@ -197,7 +197,7 @@
     expect(await store.refreshLease(leaseId)).toEqual({ kind: 'expired' });
   });
 
-  it('watches changes, removals, progress and compaction', async () => {
+  it('reports changes, removals, progress and compaction from a watch', async () => {
     const lines = [
       { result: { header: { revision: '8' }, created: true } },
       { result: { header: { revision: '9' }, events: [{ kv: KV }] } },
@@ -231,7 +231,7 @@
     expect((await listEvents(store, 5)).length <= 1).toEqual(true);
   });
 
-  it('takes a token when the gateway asks for credentials', async () => {
+  it('authenticates when the gateway requires credentials', async () => {
     const [endpoint, calls] = await startGateway(({ path, authorization }) => {
       if (path === '/v3/auth/authenticate') return { lines: [{ token: 'pass' }] };
       if (authorization !== 'pass') return { status: 401, lines: [{ code: 16 }] };
--- a/packages/sequoiarill-plugin-platform/src/__tests__/readerDuty.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/readerRole.test.ts
@@ -12,7 +12,7 @@
 const KEY = `${StoredSection.SECTIONS_PREFIX}models`;
 const EXCHANGE_MS = 500;
 
-/** Routers of one zone; `groups` are those that hear each other. */
+/** Creates the routers of one zone. `groups` lists the routers that can reach each other. */
 function createZone(size: number) {
   const clock = Kernel.createFakeClock();
   const platform = Platforms.createFakePlatform(clock);
@@ -23,7 +23,7 @@
   async function runFor(ms: number, groups: readonly (readonly Node[])[] = [nodes]) {
     for (let elapsed = 0; elapsed < ms; elapsed += EXCHANGE_MS) {
       await clock.runFor(EXCHANGE_MS);
-      groups.forEach(Fixtures.mergeNodes);
+      groups.forEach(Fixtures.relayConfiguration);
     }
   }
   async function stopAll(): Promise<void> {
@@ -40,8 +40,8 @@
   return [...new Set(nodes.map((node) => node.getVersion()))];
 }
 
-describe('reader of a zone', () => {
-  it('is one of them, and the others are told by it', async () => {
+describe('zone reader', () => {
+  it('is one router, which updates all others', async () => {
     const { platform, nodes, runFor, stopAll } = createZone(8);
     nodes.forEach((node) => node.start());
     await runFor(3_000);
@@ -51,7 +51,7 @@
     expect(listVersions(nodes)).toEqual(['v2']);
     const before = platform.getCalls();
     await runFor(10_000);
-    // Ten seconds: two confirming reads a second and a refresh each four thirds of a second.
+    // In ten seconds: two confirming reads per second, and a lease renewal every 4/3 s.
     const after = platform.getCalls();
     expect(after.read - before.read).toEqual(20);
     expect(after.write - before.write <= 8).toEqual(true);
@@ -59,9 +59,9 @@
     await stopAll();
   });
 
-  it('is replaced within seconds after its death', async () => {
-    // Story: the VM of the zone's reader fails, and operators change the document at that moment.
-    // The others must not go on with the old document because nobody tells them.
+  it('is replaced within seconds after it stops', async () => {
+    // Failure: the zone reader stops, and operators change the document at that moment. The other
+    // routers would continue with the old document because nothing updates them.
     const { platform, nodes, runFor, stopAll } = createZone(8);
     nodes.forEach((node) => node.start());
     await runFor(3_000);
@@ -76,7 +76,7 @@
     await stopAll();
   });
 
-  it('leaves others to read for themselves when they start, without a warning', async () => {
+  it('does not prevent a starting router from reading by itself without a warning', async () => {
     const { clock, nodes, runFor, stopAll } = createZone(2);
     nodes[0]?.start();
     await runFor(2_000, []);
@@ -87,7 +87,7 @@
     await stopAll();
   });
 
-  it('is itself when it is alone', async () => {
+  it('is a single router without peers', async () => {
     const { clock, nodes, stopAll } = createZone(1);
     nodes[0]?.start();
     await clock.runFor(300);
@@ -95,9 +95,10 @@
     await stopAll();
   });
 
-  it('is not missed for long when routers cannot hear each other', async () => {
-    // Story: a faulty switch drops all traffic between the zone's routers, and each of them still
-    // reaches the platform. The lease keeps the others from reading, and no peer tells them.
+  it('is bypassed when routers cannot reach each other', async () => {
+    // Failure: a faulty switch drops all traffic between the routers of a zone, while each of them
+    // still reaches the platform. The lease keeps the others from reading, and no peer updates
+    // them.
     const { platform, nodes, runFor, stopAll } = createZone(3);
     nodes.forEach((node) => node.start());
     await runFor(3_000);
@@ -110,23 +111,24 @@
     await stopAll();
   });
 
-  it('is chosen without a storm of calls after a long outage', async () => {
-    // Story: the platform comes back after an hour. Thirty-two routers of the zone want to read all
-    // of the document, each taking the platform's time away from the first one that would tell all.
+  it('is elected without a burst of calls after a long outage', async () => {
+    // Failure: the platform recovers after a long outage, and all 32 routers of the zone read the
+    // full document. The load delays the one read that would have been enough to update all of
+    // them.
     const { platform, nodes, runFor, stopAll } = createZone(32);
     nodes.forEach((node) => node.start());
     await runFor(3_000);
-    platform.faults.isAway = true;
+    platform.faults.isDown = true;
     platform.closeWatches();
     await runFor(60_000);
     const away = platform.getCalls();
     await runFor(60_000);
     const stillAway = platform.getCalls();
-    // A call each 7.5 s on average for each node, and no write.
+    // One call per node every 7.5 s on average, and no write.
     expect((stillAway.read - away.read) / 32 <= 9).toEqual(true);
     expect(stillAway.write).toEqual(away.write);
     platform.write(KEY, Fixtures.formatModelSection('v2'));
-    platform.faults.isAway = false;
+    platform.faults.isDown = false;
     await runFor(12_000);
     const back = platform.getCalls();
     expect(listVersions(nodes)).toEqual(['v2']);
@@ -135,13 +137,14 @@
     await stopAll();
   });
 
-  it('tells a router that joins while the platform is away', async () => {
-    // Story: a zone is cut off from the platform and a failed router is replaced there. The new one
-    // has no disk and no platform; only its peers can tell it whom to serve.
+  it('updates a router that joins during an outage', async () => {
+    // Failure: a zone is partitioned from the platform while a failed router is replaced there. The
+    // new router has no stored state and no platform, so only its peers can provide the
+    // configuration.
     const { platform, nodes, runFor, stopAll } = createZone(3);
     nodes.slice(0, 2).forEach((node) => node.start());
     await runFor(2_000, [nodes.slice(0, 2)]);
-    platform.faults.isAway = true;
+    platform.faults.isDown = true;
     nodes[2]?.start();
     await runFor(1_000);
     expect(nodes[2]?.getVersion()).toEqual('v1');
--- a/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
@@ -5,17 +5,17 @@
 import { expect } from 'earl';
 import * as FastCheck from 'fast-check';
 
+import * as Announcements from '../announcementStore';
 import * as Builder from '../configurationBuilder';
-import * as News from '../configurationNews';
 import * as States from '../configurationState';
 import * as SectionParser from '../sectionParser';
-import * as SnapshotKeepers from '../snapshotKeeper';
+import * as SnapshotPublishers from '../snapshotPublisher';
 import * as Fixtures from './fixtures';
 
 const NAMES = ['a', 'b', 'c', 'd'];
 const SECTIONS = ['one', 'two', 'three'];
 
-/** Names that sections share, so that claims of two sections come and go. */
+/** All sections use the same names, so that duplicate definitions appear and disappear. */
 const sectionText = FastCheck.record({
   models: FastCheck.subarray(NAMES),
   organisations: FastCheck.subarray(NAMES),
@@ -57,20 +57,20 @@
 function buildFromTexts(texts: ReadonlyMap<string, string>): Configuration {
   const parts = [...texts].flatMap(([name, text]) => {
     const result = SectionParser.parseSection(text, 'test', name);
-    return result.kind === 'section' ? [[name, Builder.buildParts(result.content)] as const] : [];
+    return result.kind === 'section' ? [[name, Builder.buildItems(result.content)] as const] : [];
   });
   return Builder.buildConfiguration(0, new Map(parts), new Map());
 }
 
 describe('snapshots', () => {
-  it('are the same whether built from changes or from the ground', () => {
+  it('are the same whether built incrementally or from scratch', () => {
     const property = FastCheck.property(batches, (plan) => {
       const clock = Kernel.createFakeClock();
       const state = States.createConfigurationState({
         clock,
         logEvent: () => undefined,
         metrics: Fixtures.SILENT_METRICS,
-        announcements: News.createAnnouncementStore(clock, 3_000),
+        announcements: Announcements.createAnnouncementStore(clock, 3_000),
       });
       const texts = new Map<string, string>();
       for (const [round, batch] of plan.entries()) {
@@ -86,26 +86,26 @@
     FastCheck.assert(property, { seed: 77, numRuns: 100 });
   });
 
-  it('are built at most once for a burst of changes, and within a second', async () => {
-    // Story: a script edits a hundred sections within a second while thousands of streams are open.
-    // A build for each of them would keep the process from relaying tokens.
+  it('are built once for a burst of changes, and within a second', async () => {
+    // Failure: a script edits a hundred sections within a second while thousands of streams are
+    // open. One build per edit would keep the process from relaying tokens.
     const clock = Kernel.createFakeClock();
     let builds = 0;
-    const keeper = SnapshotKeepers.createSnapshotKeeper({
+    const publisher = SnapshotPublishers.createSnapshotPublisher({
       clock,
       logEvent: () => undefined,
       metrics: Fixtures.SILENT_METRICS,
-      first: Builder.buildConfiguration(0, new Map(), new Map()),
+      initial: Builder.buildConfiguration(0, new Map(), new Map()),
       buildNext(current) {
         builds += 1;
         clock.delay(8);
         return { ...current, revision: current.revision + 1 };
       },
     });
-    keeper.updateSoon();
+    publisher.updateThrottled();
     expect(builds).toEqual(1);
     for (let count = 0; count < 100; count += 1) {
-      keeper.updateSoon();
+      publisher.updateThrottled();
       await clock.runFor(10);
     }
     expect(builds).toEqual(2);
--- a/packages/sequoiarill-plugin-platform/src/__tests__/sockets.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/sockets.test.ts
@@ -6,10 +6,10 @@
 import type { Configuration, Plugin } from '@sequoiarill/types';
 import { expect } from 'earl';
 
+import * as ConfigurationSyncs from '../configurationSync';
+import type { ConfigurationSync } from '../configurationSync';
 import * as DocumentEditors from '../documentEditor';
 import type { DocumentEditor } from '../documentEditor';
-import * as FollowedConfigurations from '../followedConfiguration';
-import type { FollowedConfiguration } from '../followedConfiguration';
 import * as PlatformConnections from '../platformConnection';
 import type { PlatformConnection } from '../platformConnection';
 import { platformPlugin } from '../platformPlugin';
@@ -21,7 +21,7 @@
 let platform: PlatformStandin;
 let connection: PlatformConnection;
 let editor: DocumentEditor;
-let followed: FollowedConfiguration;
+let sync: ConfigurationSync;
 let stopping: AbortController;
 let running: Promise<void>;
 
@@ -29,9 +29,9 @@
   return configuration.models.get('advisor')?.version;
 }
 
-/** Ends when the version is in force; the runner's limit for a file bounds it. */
+/** Waits until the version is applied. The test runner's time limit per file bounds the wait. */
 async function waitForVersion(version: string): Promise<void> {
-  const { state } = followed;
+  const { state } = sync;
   if (getVersion(state.getConfiguration()) === version) return;
   await new Promise<void>((resolve) => {
     const unsubscribe = state.subscribeConfiguration((configuration) => {
@@ -62,7 +62,7 @@
       nextRandom,
       author: 'ann',
     });
-    followed = FollowedConfigurations.createFollowedConfiguration({
+    sync = ConfigurationSyncs.createConfigurationSync({
       process: { name: 'router-1', zone: 'z1' },
       mode: 'auto',
       store,
@@ -73,7 +73,7 @@
     });
     stopping = new AbortController();
     expect(await writeVersion('v1')).toEqual('written');
-    running = followed.run(stopping.signal);
+    running = sync.run(stopping.signal);
     await waitForVersion('v1');
   });
 
@@ -87,46 +87,46 @@
   it('applies a change that is watched', async () => {
     await writeVersion('v2');
     await waitForVersion('v2');
-    expect(followed.isReader()).toEqual(true);
+    expect(sync.isReader()).toEqual(true);
   });
 
-  it('applies a change whose answer was lost, once', async () => {
-    // Story: the platform applies an edit and cuts the connection before its answer. The operator
-    // must learn that it is in force, and routers must see it once.
+  it('applies a change whose response was lost exactly once', async () => {
+    // Failure: the platform applies an edit and closes the connection before it responds. The
+    // operator must learn that the edit took effect, and routers must apply it once.
     await platform.setFault({ kind: 'loseAnswers', count: 1 });
     expect(await writeVersion('v2')).toEqual('written');
     await waitForVersion('v2');
     expect((await editor.listHistory('models'))?.length).toEqual(2);
   });
 
-  it('has a change after the watch lost its place', async () => {
-    // Story: watches break and the revisions they would go on from are compacted away.
+  it('receives a change after the watch was compacted', async () => {
+    // Failure: watches break, and the revisions from which they would continue are compacted.
     await platform.setFault({ kind: 'watchGap' });
     await writeVersion('v2');
     await waitForVersion('v2');
   });
 
-  it('serves on while the platform is away and has the next change after it', async () => {
-    // Story: the platform takes no connections for longer than a lease lasts. The router keeps what
-    // it has; an edit is refused as not written; afterwards the next one is in force again.
+  it('keeps its configuration during an outage and receives the next change after it', async () => {
+    // Failure: the platform refuses connections for longer than the lease lasts. The router has to
+    // keep its configuration, an edit must fail as not written, and the next edit must take effect.
     await platform.setFault({ kind: 'refuse' });
     expect(await writeVersion('lost')).toEqual('unavailable');
     await CLOCK.waitMs(4_500);
-    expect(getVersion(followed.state.getConfiguration())).toEqual('v1');
+    expect(getVersion(sync.state.getConfiguration())).toEqual('v1');
     await platform.setFault({ kind: 'up' });
     expect(await writeVersion('v2')).toEqual('written');
     await waitForVersion('v2');
   });
 
-  it('keeps the duty while each call takes a third of a second', async () => {
+  it('keeps the reader role while each call takes 300 ms', async () => {
     await platform.setFault({ kind: 'slow', ms: 300 });
     await CLOCK.waitMs(4_500);
-    expect(followed.isReader()).toEqual(true);
+    expect(sync.isReader()).toEqual(true);
     await writeVersion('v2');
     await waitForVersion('v2');
   });
 
-  it('runs as a plug-in that is ready with its configuration and dumps no secret', async () => {
+  it('starts as a plug-in with its configuration and dumps no secrets', async () => {
     const key = Kernel.createKeyRecord();
     const text = JSON.stringify({ organisations: { shop: { keys: [key.record] } } });
     await editor.putSection({ section: 'teams', text, file: 'teams.json' });
--- a/packages/sequoiarill-plugin-platform/src/callCounter.ts
+++ b/packages/sequoiarill-plugin-platform/src/callCounter.ts
@@ -1,4 +1,6 @@
-/** Counts calls against the platform's budget: several hundred writes, two thousand reads a second. */
+/**
+ * Counts calls to the platform, whose budget is several hundred writes and 2,000 reads per second.
+ */
 import type { Metrics } from '@sequoiarill/types';
 
 export type CallKind = 'read' | 'write' | 'watch';
@@ -21,7 +23,6 @@
   watch: 'platform.watches',
 };
 
-/** The part of the metrics that calls to the platform need. */
 export type CallMetrics = Pick<Metrics, 'addCount' | 'recordTiming'>;
 
 export function createCallCounter(metrics: CallMetrics): CallCounter {
--- a/packages/sequoiarill-plugin-platform/src/configurationBuilder.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationBuilder.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the snapshot that requests are served by. Parts are kept for each section, so that a change
- * of one section parses that one only, and unchanged organisations keep their identity.
+ * Builds the configuration snapshot that requests use. Items are cached per section, so that a
+ * change parses only the changed section, and unchanged organisations keep their object identity.
  */
 import type {
   Configuration,
@@ -15,13 +15,13 @@
 import type { SectionContent } from './documentSchema';
 
 /**
- * For organisations without limits: none that would be felt. Admission still shares a saturated
- * system by priority and weight.
+ * Limits of organisations that set none, too high to take effect. Admission control still shares a
+ * saturated system by priority and weight.
  */
 const UNLIMITED = { tokensPerSecond: 1e9, concurrentRequests: 1e9 };
 
-/** What one section adds to the snapshot. */
-export interface SectionParts {
+/** Items that one section contributes to the snapshot. */
+export interface SectionItems {
   readonly models: readonly Model[];
   readonly organisations: readonly Organisation[];
   readonly services: readonly PlainService[];
@@ -29,13 +29,13 @@
   readonly keys: readonly KeyOwner[];
 }
 
-/** A section's parts before and after a change of it. */
-export interface PartsChange {
-  readonly before: SectionParts;
-  readonly after: SectionParts;
+/** Items of a section before and after a change. */
+export interface SectionChange {
+  readonly before: SectionItems;
+  readonly after: SectionItems;
 }
 
-export const EMPTY_PARTS: SectionParts = {
+export const EMPTY_ITEMS: SectionItems = {
   models: [],
   organisations: [],
   services: [],
@@ -61,18 +61,18 @@
 
 function buildTargets(content: SectionContent): readonly Target[] {
   return Object.entries(content.vms).flatMap(([vm, { zone, state, engines, services }]) => {
-    const place = { vm, zone, vmState: state };
+    const location = { vm, zone, vmState: state };
     return [
       ...Object.entries(engines).map(([name, engine]): Target => ({
         kind: 'engine',
         name,
-        ...place,
+        ...location,
         ...engine,
       })),
       ...Object.entries(services).map(([name, service]): Target => ({
         kind: 'service',
         name,
-        ...place,
+        ...location,
         ...service,
       })),
     ];
@@ -85,16 +85,16 @@
   );
 }
 
-/** Keeps the earlier list when nothing in it changed, so that its map need not be built anew. */
+/** Returns the previous list if nothing changed, so that its map does not have to be rebuilt. */
 function pickUnchanged<Item>(before: readonly Item[], after: readonly Item[]): readonly Item[] {
   const isSame = before.length === after.length && JSON.stringify(before) === JSON.stringify(after);
   return isSame ? before : after;
 }
 
-export function buildParts(
+export function buildItems(
   content: SectionContent,
-  before: SectionParts = EMPTY_PARTS,
-): SectionParts {
+  before: SectionItems = EMPTY_ITEMS,
+): SectionItems {
   const organisations = pickUnchanged(before.organisations, buildOrganisations(content));
   return {
     models: pickUnchanged(before.models, buildModels(content)),
@@ -105,8 +105,8 @@
   };
 }
 
-/** The first section by name keeps a name that two claim, so that every router decides alike. */
-function addNamed<Item extends { readonly name: string }>(
+/** If two sections define a name, the first section by name wins, so that all routers agree. */
+function addByName<Item extends { readonly name: string }>(
   map: Map<string, Item>,
   items: readonly Item[],
 ): void {
@@ -121,16 +121,18 @@
   });
 }
 
-/** Either source saying so makes a VM leaving: the platform's list lags behind the document. */
+/**
+ * A VM is leaving if either source says so, because the platform's list lags behind the document.
+ */
 function mergeVmState(target: Target, vmStates: ReadonlyMap<string, VmState>): Target {
   if (target.vmState === 'leaving' || vmStates.get(target.vm) !== 'leaving') return target;
   return { ...target, vmState: 'leaving' };
 }
 
-/** Merges the parts of all sections, in the order of their names. */
+/** Merges the items of all sections, ordered by section name. */
 export function buildConfiguration(
   revision: number,
-  partsBySection: ReadonlyMap<string, SectionParts>,
+  itemsBySection: ReadonlyMap<string, SectionItems>,
   vmStates: ReadonlyMap<string, VmState>,
 ): Configuration {
   const models = new Map<string, Model>();
@@ -138,31 +140,31 @@
   const services = new Map<string, PlainService>();
   const targets = new Map<string, Target>();
   const keysById = new Map<string, KeyOwner>();
-  for (const [, parts] of [...partsBySection].sort(([left], [right]) => (left < right ? -1 : 1))) {
-    addNamed(models, parts.models);
-    addNamed(organisations, parts.organisations);
-    addNamed(services, parts.services);
-    addNamed(
+  for (const [, items] of [...itemsBySection].sort(([left], [right]) => (left < right ? -1 : 1))) {
+    addByName(models, items.models);
+    addByName(organisations, items.organisations);
+    addByName(services, items.services);
+    addByName(
       targets,
-      parts.targets.map((target) => mergeVmState(target, vmStates)),
+      items.targets.map((target) => mergeVmState(target, vmStates)),
     );
-    addKeys(keysById, parts.keys);
+    addKeys(keysById, items.keys);
   }
   return { revision, models, organisations, keysById, services, targets };
 }
 
-/** Whether no two sections claim a name; then each section's items can be replaced by themselves. */
-export function isUnambiguous(
+/** Whether no name is defined by two sections, so that the items of one can be replaced alone. */
+export function hasUniqueNames(
   configuration: Configuration,
-  partsBySection: ReadonlyMap<string, SectionParts>,
+  itemsBySection: ReadonlyMap<string, SectionItems>,
 ): boolean {
   const counts = { models: 0, organisations: 0, services: 0, targets: 0, keys: 0 };
-  for (const parts of partsBySection.values()) {
-    counts.models += parts.models.length;
-    counts.organisations += parts.organisations.length;
-    counts.services += parts.services.length;
-    counts.targets += parts.targets.length;
-    counts.keys += parts.keys.length;
+  for (const items of itemsBySection.values()) {
+    counts.models += items.models.length;
+    counts.organisations += items.organisations.length;
+    counts.services += items.services.length;
+    counts.targets += items.targets.length;
+    counts.keys += items.keys.length;
   }
   return (
     counts.models === configuration.models.size &&
@@ -178,17 +180,19 @@
   readonly after: readonly Item[];
 }
 
-/** Copies a map only if something in it changed; undefined when a new name is already taken. */
+/**
+ * Copies a map only if one of its items changed. Returns undefined if a new name already exists.
+ */
 function mergeItems<Item>(
   map: ReadonlyMap<string, Item>,
   changes: readonly ItemChange<Item>[],
   getName: (item: Item) => string,
 ): ReadonlyMap<string, Item> | undefined {
-  const touched = changes.filter(({ before, after }) => before !== after);
-  if (touched.length === 0) return map;
+  const changed = changes.filter(({ before, after }) => before !== after);
+  if (changed.length === 0) return map;
   const copy = new Map(map);
-  touched.forEach(({ before }) => before.forEach((item) => copy.delete(getName(item))));
-  for (const { after } of touched) {
+  changed.forEach(({ before }) => before.forEach((item) => copy.delete(getName(item))));
+  for (const { after } of changed) {
     for (const item of after) {
       const name = getName(item);
       if (copy.has(name)) return undefined;
@@ -203,16 +207,17 @@
 }
 
 /**
- * The snapshot after some sections changed, built from an unambiguous one: copying a map costs a
- * fraction of filling it again. Undefined when a name is claimed twice now; then all is built anew.
+ * Builds the snapshot after some sections changed from a previous one in which all names are
+ * unique: copying a map costs a fraction of filling it again. Returns undefined if a name is now
+ * defined twice, in which case the caller has to rebuild the full snapshot.
  */
 export function updateConfiguration(
   previous: Configuration,
   revision: number,
-  changes: readonly PartsChange[],
+  changes: readonly SectionChange[],
   vmStates: ReadonlyMap<string, VmState>,
 ): Configuration | undefined {
-  function listChanges<Kind extends keyof SectionParts>(kind: Kind) {
+  function listChanges<Kind extends keyof SectionItems>(kind: Kind) {
     return changes.map(({ before, after }) => ({ before: before[kind], after: after[kind] }));
   }
   const targetChanges = listChanges('targets').map(({ before, after }) => ({
--- a/packages/sequoiarill-plugin-platform/src/configurationState.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationState.ts
@@ -1,4 +1,4 @@
-/** The newest accepted record of each section and VM, and the snapshot built from them. */
+/** Holds the newest accepted record of each section and VM, and the snapshot built from them. */
 import type {
   Clock,
   Configuration,
@@ -11,22 +11,22 @@
   VmState,
 } from '@sequoiarill/types';
 
+import type { AnnouncementStore } from './announcementStore';
 import * as Builder from './configurationBuilder';
-import type { SectionParts } from './configurationBuilder';
-import type { NewsKeeper } from './configurationNews';
+import type { SectionItems } from './configurationBuilder';
 import * as DocumentRecords from './documentRecords';
 import * as DocumentSchema from './documentSchema';
 import * as Events from './events';
 import * as SectionParser from './sectionParser';
-import * as SnapshotKeepers from './snapshotKeeper';
+import * as SnapshotPublishers from './snapshotPublisher';
 
 export interface ConfigurationState extends ConfigurationReader, ConfigurationExchange {
-  /** Takes in records; ones that are not newer than what is held change nothing. */
+  /** Applies records. Those that are not newer than the current ones have no effect. */
   readonly applyRecords: (records: readonly ConfigurationSection[]) => void;
-  /** The newest record up to a revision; 0 when there is none. */
+  /** Returns the newest record revision up to `upTo`, or 0 if there is none. */
   readonly findNewestRevision: (upTo: number) => number;
-  /** Sections of which every text seen so far was refused. */
-  readonly listWithoutText: () => readonly string[];
+  /** Lists sections of which every text received so far was rejected. */
+  readonly listSectionsWithoutText: () => readonly string[];
   readonly dumpState: () => StateDump;
 }
 
@@ -34,52 +34,53 @@
   readonly clock: Clock;
   readonly logEvent: LogEvent;
   readonly metrics: Metrics;
-  readonly announcements: NewsKeeper;
+  readonly announcements: AnnouncementStore;
 }
 
-/** Faults of one section that are logged; an operator sees the rest with `config check`. */
+/** Faults logged per section. Operators see the rest with `config check`. */
 const MAX_LOGGED_FAULTS = 10;
 
-/** Beyond it, building anew costs no more than replacing. */
+/** Above it, a full rebuild costs no more than replacing sections. */
 const MAX_REPLACED_SECTIONS = 50;
 
-/** Three times the VMs of the largest fleet; those replaced stay in the list, 2,500 a day. */
+/** Three times the VMs of the largest fleet. Replaced VMs stay in the list, 2,500 per day. */
 const MAX_VMS = 20_000;
 
 const EMPTY: Configuration = Builder.buildConfiguration(0, new Map(), new Map());
 
 export function createConfigurationState(options: ConfigurationStateOptions): ConfigurationState {
-  const { clock, logEvent, metrics, announcements: news } = options;
+  const { clock, logEvent, metrics, announcements } = options;
   const records = new Map<string, ConfigurationSection>();
-  /** Revision of the newest text that was refused, by name. */
+  /** Revision of the newest rejected text, by section or VM name. */
   const refused = new Map<string, number>();
-  const partsBySection = new Map<string, SectionParts>();
+  const itemsBySection = new Map<string, SectionItems>();
   const vmStates = new Map<string, VmState>();
-  let changes = new Map<string, Builder.PartsChange>();
+  let changes = new Map<string, Builder.SectionChange>();
   let hasVmChange = false;
   let newestRevision = 0;
-  /** No name is claimed by two sections. */
-  let isClear = true;
-  const snapshots = SnapshotKeepers.createSnapshotKeeper({
+  /** Whether no name is defined by two sections. */
+  let hasUniqueNames = true;
+  const publisher = SnapshotPublishers.createSnapshotPublisher({
     clock,
     logEvent,
     metrics,
-    first: EMPTY,
+    initial: EMPTY,
     buildNext,
   });
 
-  /** Sections alone are replaced in the last snapshot; all else is rare and built from the ground. */
+  /** Replaces changed sections in the last snapshot. All other changes are rare and rebuild it. */
   function buildNext(current: Configuration): Configuration {
-    const taken = [...changes.values()];
-    const isSmall = !hasVmChange && taken.length <= MAX_REPLACED_SECTIONS && isClear;
+    const sectionChanges = [...changes.values()];
+    const isIncremental =
+      !hasVmChange && sectionChanges.length <= MAX_REPLACED_SECTIONS && hasUniqueNames;
     changes = new Map();
     hasVmChange = false;
-    const updated = isSmall
-      ? Builder.updateConfiguration(current, newestRevision, taken, vmStates)
+    const updated = isIncremental
+      ? Builder.updateConfiguration(current, newestRevision, sectionChanges, vmStates)
       : undefined;
     if (updated !== undefined) return updated;
-    const built = Builder.buildConfiguration(newestRevision, partsBySection, vmStates);
-    isClear = Builder.isUnambiguous(built, partsBySection);
+    const built = Builder.buildConfiguration(newestRevision, itemsBySection, vmStates);
+    hasUniqueNames = Builder.hasUniqueNames(built, itemsBySection);
     return built;
   }
 
@@ -88,35 +89,35 @@
     faults: readonly SectionParser.DocumentFault[],
   ): false {
     refused.set(record.name, Math.max(record.revision, refused.get(record.name) ?? 0));
-    const shown = faults.slice(0, MAX_LOGGED_FAULTS).map(SectionParser.formatFault);
+    const loggedFaults = faults.slice(0, MAX_LOGGED_FAULTS).map(SectionParser.formatFault);
     const { name, revision } = record;
-    logEvent(Events.SECTION_REFUSED, { section: name, revision, faults: shown });
+    logEvent(Events.SECTION_REFUSED, { section: name, revision, faults: loggedFaults });
     return false;
   }
 
   function applySection(record: ConfigurationSection): boolean {
     const result = SectionParser.parseSection(record.text, 'platform', record.name);
     if (result.kind === 'faults') return refuseRecord(record, result.faults);
-    const before = partsBySection.get(record.name) ?? Builder.EMPTY_PARTS;
-    const after = Builder.buildParts(result.content, before);
-    partsBySection.set(record.name, after);
-    const first = changes.get(record.name)?.before ?? before;
-    changes.set(record.name, { before: first, after });
+    const before = itemsBySection.get(record.name) ?? Builder.EMPTY_ITEMS;
+    const after = Builder.buildItems(result.content, before);
+    itemsBySection.set(record.name, after);
+    const originalItems = changes.get(record.name)?.before ?? before;
+    changes.set(record.name, { before: originalItems, after });
     return true;
   }
 
   function applyVm(record: ConfigurationSection): boolean {
     const schema = DocumentSchema.vmRecordSchema;
-    const result = SectionParser.parseWith(schema, record.text, 'platform', record.name);
+    const result = SectionParser.parseWithSchema(schema, record.text, 'platform', record.name);
     if (result.kind === 'faults') return refuseRecord(record, result.faults);
     vmStates.set(DocumentRecords.getVmName(record), result.content.state);
     hasVmChange = true;
     return true;
   }
 
-  function isKnown({ name, revision }: ConfigurationSection): boolean {
-    const held = records.get(name)?.revision ?? 0;
-    return revision <= held || revision === refused.get(name);
+  function isAlreadyProcessed({ name, revision }: ConfigurationSection): boolean {
+    const currentRevision = records.get(name)?.revision ?? 0;
+    return revision <= currentRevision || revision === refused.get(name);
   }
 
   function removeOldestVm(): void {
@@ -127,11 +128,12 @@
   }
 
   /**
-   * Failure: text written past our checks does not parse. It shows as a refused record; the last good
-   * one is kept in force and is what peers are given, so that one bad write takes no team out.
+   * Failure: a text written without the checks of the commands does not parse. Its record is
+   * rejected, and the last valid one stays in effect and is sent to peers, so that one invalid
+   * write does not interrupt a team's service.
    */
   function applyRecord(record: ConfigurationSection): boolean {
-    if (isKnown(record)) return false;
+    if (isAlreadyProcessed(record)) return false;
     const isApplied = DocumentRecords.isVmRecord(record) ? applyVm(record) : applySection(record);
     if (!isApplied) return false;
     records.set(record.name, record);
@@ -147,12 +149,13 @@
       (newest, { revision }) => Math.max(newest, revision),
       newestRevision,
     );
-    snapshots.updateSoon();
+    publisher.updateThrottled();
   }
 
   /**
-   * Refused records count too: they are known. Telling peers this revision and not that of the store,
-   * which rises with every claim of an order, spares them questions that bring nothing.
+   * Includes rejected records, since they were received as well. Peers are sent this revision
+   * instead of that of the store, which increases with every claim of an order, so that they do not
+   * request sections that have not changed.
    */
   function findNewestRevision(upTo: number): number {
     let newest = 0;
@@ -166,12 +169,13 @@
   }
 
   /**
-   * Failure: two watches are not ordered against each other, so a record can arrive before an older
-   * one. A peer that is given the newer one would take itself for complete and never ask for the
-   * older. So records above the confirmed revision wait for the confirmation, a fraction of a second.
+   * Failure: two watches are not ordered relative to each other, so a record can arrive before an
+   * older one. A peer that received only the newer one would consider itself complete and never
+   * request the older one. Records above the confirmed revision are therefore withheld until the
+   * confirmation, which takes a fraction of a second.
    */
   function listSectionsAfter(revision: number): readonly ConfigurationSection[] {
-    const confirmed = news.getAnnouncement().revision;
+    const confirmed = announcements.getAnnouncement().revision;
     return [...records.values()].filter(
       (record) => record.revision > revision && record.revision <= confirmed,
     );
@@ -180,27 +184,27 @@
   return {
     applyRecords,
     findNewestRevision,
-    getConfiguration: snapshots.getConfiguration,
-    subscribeConfiguration: snapshots.subscribe,
-    getAnnouncement: news.getAnnouncement,
+    getConfiguration: publisher.getConfiguration,
+    subscribeConfiguration: publisher.subscribe,
+    getAnnouncement: announcements.getAnnouncement,
     listSectionsAfter,
-    mergeSections(peerNews, sections) {
+    mergeSections(peerAnnouncement, sections) {
       applyRecords(sections);
-      news.mergeNews(peerNews);
+      announcements.mergeAnnouncement(peerAnnouncement);
     },
-    listWithoutText: () =>
+    listSectionsWithoutText: () =>
       [...refused.keys()].filter(
         (name) => !records.has(name) && !DocumentRecords.isVmRecord({ name }),
       ),
     dumpState() {
-      const configuration = snapshots.getConfiguration();
-      const appliedAt = snapshots.getAppliedAt();
-      return dumpKnown({ configuration, appliedAt, news, records, refused, vmStates });
+      const configuration = publisher.getConfiguration();
+      const appliedAt = publisher.getAppliedAt();
+      return buildDump({ configuration, appliedAt, announcements, records, refused, vmStates });
     },
   };
 }
 
-/** Whose state changed longest ago: of those that are gone, the first to be forgotten. */
+/** Finds the VM whose state changed longest ago, so that replaced VMs are dropped oldest first. */
 function findOldestVm(
   records: ReadonlyMap<string, ConfigurationSection>,
 ): ConfigurationSection | undefined {
@@ -212,23 +216,23 @@
   return oldest;
 }
 
-interface Known {
+interface DumpInput {
   readonly configuration: Configuration;
   readonly appliedAt: string | undefined;
-  readonly news: NewsKeeper;
+  readonly announcements: AnnouncementStore;
   readonly records: ReadonlyMap<string, ConfigurationSection>;
   readonly refused: ReadonlyMap<string, number>;
   readonly vmStates: ReadonlyMap<string, VmState>;
 }
 
-/** Names and revisions only: texts hold hashes of keys. */
-function dumpKnown(known: Known): StateDump {
-  const { configuration, news, records, refused, vmStates } = known;
-  const ageMs = news.getAgeMs();
+/** Includes only names and revisions, because section texts contain hashes of API keys. */
+function buildDump(input: DumpInput): StateDump {
+  const { configuration, announcements, records, refused, vmStates } = input;
+  const ageMs = announcements.getAgeMs();
   return {
     revision: configuration.revision,
-    appliedAt: known.appliedAt,
-    news: news.getAnnouncement(),
+    appliedAt: input.appliedAt,
+    news: announcements.getAnnouncement(),
     newsAgeMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
     sections: [...records.values()]
       .filter((record) => !DocumentRecords.isVmRecord(record))
--- a/packages/sequoiarill-plugin-platform/src/documentChecks.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentChecks.ts
@@ -1,13 +1,13 @@
 /**
- * Checks of one edited section against all others. Only what the edit can break is looked at, and
- * facts of the others are kept, because an edit that is checked for long loses its race for the marker
- * of the last edit at tens of edits a second.
+ * Checks one edited section against all others. Only checks that the edit can fail are run, and the
+ * indexes of the other sections are cached: at tens of edits per second, an edit with a slow check
+ * would always lose the compare-and-swap on the marker of the last edit.
  */
 import type { SectionContent } from './documentSchema';
 import * as SectionParser from './sectionParser';
 import type { DocumentFault } from './sectionParser';
 
-/** One section of the document under check. */
+/** One parsed section of the document. */
 export interface CheckedSection {
   readonly name: string;
   readonly file: string;
@@ -15,26 +15,26 @@
 }
 
 /**
- * Requests in progress for each slot of an engine: one that runs and three that wait. A limit beyond
- * it promises what even a full queue of all engines could not hold.
+ * In-flight requests per engine slot: one running and three queued. A higher limit of an
+ * organisation could not be met even with the queues of all engines full.
  */
 const REQUESTS_PER_SLOT = 4;
 
-/** A name that only one place of the document may claim. */
+/** A definition of a name that must be unique in the document. */
 interface Claim {
   readonly kind: 'model' | 'service' | 'organisation' | 'key id' | 'VM' | 'target' | 'address';
   readonly name: string;
   readonly path: string;
 }
 
-/** What other sections need to know of one; worked out once for each text. */
-interface SectionFacts {
-  /** Paths that claim a name, by kind and name. */
+/** Data of one section that checks of other sections need. Computed once per text. */
+interface SectionIndex {
+  /** Paths that define a name, by kind and name. */
   readonly pathsByClaim: ReadonlyMap<string, readonly string[]>;
   readonly slotsByModel: ReadonlyMap<string, number>;
 }
 
-const factsByContent = new WeakMap<SectionContent, SectionFacts>();
+const indexByContent = new WeakMap<SectionContent, SectionIndex>();
 
 function createFault(section: CheckedSection, path: string, reason: string): DocumentFault {
   return { file: section.file, section: section.name, path, reason };
@@ -44,9 +44,9 @@
   for (const [vmName, vm] of Object.entries(content.vms)) {
     const vmPath = `vms.${vmName}`;
     yield { kind: 'VM', name: vmName, path: vmPath };
-    for (const place of ['engines', 'services'] as const) {
-      for (const [name, target] of Object.entries(vm[place])) {
-        const path = `${vmPath}.${place}.${name}`;
+    for (const targetKind of ['engines', 'services'] as const) {
+      for (const [name, target] of Object.entries(vm[targetKind])) {
+        const path = `${vmPath}.${targetKind}.${name}`;
         yield { kind: 'target', name, path };
         yield { kind: 'address', name: target.address, path: `${path}.address` };
       }
@@ -74,35 +74,35 @@
   return `${claim.kind} "${claim.name}"`;
 }
 
-function buildFacts(content: SectionContent): SectionFacts {
+function buildIndex(content: SectionContent): SectionIndex {
   const pathsByClaim = new Map<string, readonly string[]>();
   for (const claim of listClaims(content)) {
     const id = formatClaim(claim);
     pathsByClaim.set(id, [...(pathsByClaim.get(id) ?? []), claim.path]);
   }
-  return { pathsByClaim, slotsByModel: computeSlots(content) };
+  return { pathsByClaim, slotsByModel: computeSlotsByModel(content) };
 }
 
-function getFacts({ content }: CheckedSection): SectionFacts {
-  const known = factsByContent.get(content);
-  if (known !== undefined) return known;
-  const facts = buildFacts(content);
-  factsByContent.set(content, facts);
-  return facts;
+function getIndex({ content }: CheckedSection): SectionIndex {
+  const cached = indexByContent.get(content);
+  if (cached !== undefined) return cached;
+  const sectionIndex = buildIndex(content);
+  indexByContent.set(content, sectionIndex);
+  return sectionIndex;
 }
 
-/** Another place that claims the same, in this section or in another one. */
-function findOtherPlace(
+/** Finds another definition of the same name, in this section or another one. */
+function findOtherLocation(
   section: CheckedSection,
   claim: Claim,
   others: readonly CheckedSection[],
 ): string | undefined {
   const id = formatClaim(claim);
-  const ownPaths = getFacts(section).pathsByClaim.get(id) ?? [];
+  const ownPaths = getIndex(section).pathsByClaim.get(id) ?? [];
   const ownPath = ownPaths.find((path) => path !== claim.path);
   if (ownPath !== undefined) return `[${section.name}] ${ownPath}`;
   for (const other of others) {
-    const path = getFacts(other).pathsByClaim.get(id)?.[0];
+    const path = getIndex(other).pathsByClaim.get(id)?.[0];
     if (path !== undefined) return `[${other.name}] ${path}`;
   }
   return undefined;
@@ -113,53 +113,64 @@
   others: readonly CheckedSection[],
 ): readonly DocumentFault[] {
   return [...listClaims(section.content)].flatMap((claim) => {
-    const place = findOtherPlace(section, claim, others);
-    if (place === undefined) return [];
-    const reason = `${formatClaim(claim)} is also claimed by ${place}; rename or remove one`;
+    const location = findOtherLocation(section, claim, others);
+    if (location === undefined) return [];
+    const reason = `${formatClaim(claim)} is also claimed by ${location}; rename or remove one`;
     return [createFault(section, claim.path, reason)];
   });
 }
 
-interface KnownNames {
+interface DefinedNames {
   readonly models: ReadonlySet<string>;
   readonly services: ReadonlySet<string>;
 }
 
-function checkNames(
+function checkReferencedNames(
   section: CheckedSection,
   path: string,
   kind: 'model' | 'service',
   names: readonly string[],
-  known: ReadonlySet<string>,
+  definedNames: ReadonlySet<string>,
 ): readonly DocumentFault[] {
   return names
-    .filter((name) => !known.has(name))
+    .filter((name) => !definedNames.has(name))
     .map((name) => {
       const reason = `unknown ${kind} "${name}"; add it to a section first or mend the name`;
       return createFault(section, path, reason);
     });
 }
 
-function checkReferences(section: CheckedSection, known: KnownNames): readonly DocumentFault[] {
+function checkReferences(
+  section: CheckedSection,
+  definedNames: DefinedNames,
+): readonly DocumentFault[] {
   const { organisations, vms } = section.content;
-  const ofOrganisations = Object.entries(organisations).flatMap(([name, { models, services }]) => {
-    const path = `organisations.${name}`;
-    return [
-      ...checkNames(section, `${path}.models`, 'model', models, known.models),
-      ...checkNames(section, `${path}.services`, 'service', services, known.services),
-    ];
-  });
-  const ofVms = Object.entries(vms).flatMap(([vmName, vm]) => [
+  const organisationFaults = Object.entries(organisations).flatMap(
+    ([name, { models, services }]) => {
+      const path = `organisations.${name}`;
+      return [
+        ...checkReferencedNames(section, `${path}.models`, 'model', models, definedNames.models),
+        ...checkReferencedNames(
+          section,
+          `${path}.services`,
+          'service',
+          services,
+          definedNames.services,
+        ),
+      ];
+    },
+  );
+  const vmFaults = Object.entries(vms).flatMap(([vmName, vm]) => [
     ...Object.entries(vm.engines).flatMap(([name, { models }]) => {
       const path = `vms.${vmName}.engines.${name}.models`;
-      return checkNames(section, path, 'model', models, known.models);
+      return checkReferencedNames(section, path, 'model', models, definedNames.models);
     }),
     ...Object.entries(vm.services).flatMap(([name, { service }]) => {
       const path = `vms.${vmName}.services.${name}.service`;
-      return checkNames(section, path, 'service', [service], known.services);
+      return checkReferencedNames(section, path, 'service', [service], definedNames.services);
     }),
   ]);
-  return [...ofOrganisations, ...ofVms];
+  return [...organisationFaults, ...vmFaults];
 }
 
 function checkModels(section: CheckedSection): readonly DocumentFault[] {
@@ -171,48 +182,50 @@
     });
 }
 
-function listKnownNames(sections: readonly CheckedSection[]): KnownNames {
+function listDefinedNames(sections: readonly CheckedSection[]): DefinedNames {
   return {
     models: new Set(sections.flatMap(({ content }) => Object.keys(content.models))),
     services: new Set(sections.flatMap(({ content }) => Object.keys(content.services))),
   };
 }
 
-/** Faults of the edited section: names claimed twice, names unknown, models over themselves. */
+/** Finds faults of the edited section: duplicate names, unknown names, invalid model limits. */
 export function checkEdited(
   edited: CheckedSection,
   others: readonly CheckedSection[],
 ): readonly DocumentFault[] {
   return [
     ...checkClaims(edited, others),
-    ...checkReferences(edited, listKnownNames([edited, ...others])),
+    ...checkReferences(edited, listDefinedNames([edited, ...others])),
     ...checkModels(edited),
   ];
 }
 
-/** Faults that an edit brings upon other sections: it takes away what they use. */
+/** Finds faults that an edit causes in other sections by removing names that they reference. */
 export function checkOthers(
   edited: CheckedSection,
   stored: CheckedSection | undefined,
   others: readonly CheckedSection[],
 ): readonly DocumentFault[] {
   if (stored === undefined) return [];
-  const after = listKnownNames([edited, ...others]);
-  const before = listKnownNames([stored]);
-  const isTakenAway =
+  const after = listDefinedNames([edited, ...others]);
+  const before = listDefinedNames([stored]);
+  const isNameRemoved =
     [...before.models].some((name) => !after.models.has(name)) ||
     [...before.services].some((name) => !after.services.has(name));
-  if (!isTakenAway) return [];
-  const known = listKnownNames([stored, ...others]);
-  const isOld = new Set(
-    others.flatMap((section) => checkReferences(section, known)).map(SectionParser.formatFault),
+  if (!isNameRemoved) return [];
+  const definedNames = listDefinedNames([stored, ...others]);
+  const existingFaults = new Set(
+    others
+      .flatMap((section) => checkReferences(section, definedNames))
+      .map(SectionParser.formatFault),
   );
   return others
     .flatMap((section) => checkReferences(section, after))
-    .filter((fault) => !isOld.has(SectionParser.formatFault(fault)));
+    .filter((fault) => !existingFaults.has(SectionParser.formatFault(fault)));
 }
 
-function computeSlots(content: SectionContent): ReadonlyMap<string, number> {
+function computeSlotsByModel(content: SectionContent): ReadonlyMap<string, number> {
   const slotsByModel = new Map<string, number>();
   for (const vm of Object.values(content.vms)) {
     for (const { models, slots } of Object.values(vm.engines)) {
@@ -224,32 +237,33 @@
 
 function computeModelSlots(sections: readonly CheckedSection[], model: string): number {
   return sections.reduce(
-    (sum, section) => sum + (getFacts(section).slotsByModel.get(model) ?? 0),
+    (sum, section) => sum + (getIndex(section).slotsByModel.get(model) ?? 0),
     0,
   );
 }
 
 /**
- * Limits of one section that are above what all engines together can hold. Told to the team that sets
- * the limit, never to the team that takes engines away: an operator must be able to remove a VM.
+ * Finds limits in a section that exceed the capacity of all engines together. This is reported to
+ * the team that sets the limit, never to the team that removes engines, because operators must be
+ * able to remove a VM.
  */
 export function checkCapacity(
   section: CheckedSection,
   sections: readonly CheckedSection[],
 ): readonly DocumentFault[] {
   return Object.entries(section.content.organisations).flatMap(([name, { models, limits }]) => {
-    const wanted = limits.concurrentRequests;
-    if (wanted === undefined) return [];
+    const limit = limits.concurrentRequests;
+    if (limit === undefined) return [];
     const slots = models.reduce((sum, model) => sum + computeModelSlots(sections, model), 0);
-    const most = slots * REQUESTS_PER_SLOT;
-    if (wanted <= most) return [];
+    const capacity = slots * REQUESTS_PER_SLOT;
+    if (limit <= capacity) return [];
     const path = `organisations.${name}.limits.concurrentRequests`;
-    const reason = `${wanted} is above ${most}, which the ${slots} slots of its models can hold; lower it or add engines first`;
+    const reason = `${limit} is above ${capacity}, which the ${slots} slots of its models can hold; lower it or add engines first`;
     return [createFault(section, path, reason)];
   });
 }
 
-/** What can be told of a section without the others: names it claims twice, models over themselves. */
-export function checkAloneSection(section: CheckedSection): readonly DocumentFault[] {
+/** Finds faults that do not depend on other sections: duplicate names, invalid model limits. */
+export function checkStandaloneSection(section: CheckedSection): readonly DocumentFault[] {
   return [...checkClaims(section, []), ...checkModels(section)];
 }
--- a/packages/sequoiarill-plugin-platform/src/documentDiff.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentDiff.ts
@@ -1,4 +1,4 @@
-/** The difference of two section texts by key path, as operators read it. */
+/** Compares two section texts by key path, for display to operators. */
 
 export interface Difference {
   readonly kind: 'added' | 'removed' | 'changed';
@@ -17,7 +17,7 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    // Text that is no JSON is compared as a whole.
+    // Text that is not valid JSON is compared as a single string.
     return text;
   }
 }
--- a/packages/sequoiarill-plugin-platform/src/documentEditor.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentEditor.ts
@@ -1,6 +1,7 @@
 /**
- * Edits one section of the stored document by compare-and-swap. Two operators on one section: one
- * wins, the other is told the difference. On two sections: both win.
+ * Edits one section of the stored document by compare-and-swap. If two operators edit the same
+ * section, one edit succeeds and the other operator is shown the difference. Edits of different
+ * sections both succeed.
  */
 import { randomUUID } from 'node:crypto';
 
@@ -27,9 +28,9 @@
 export interface SectionEdit {
   readonly section: string;
   readonly text: string;
-  /** Where the text came from, for messages. */
+  /** Origin of the text, for messages. */
   readonly file: string;
-  /** Revision the section must still have; what is read first when absent. */
+  /** Revision that the section must still have. Defaults to the revision that is read first. */
   readonly ifRevision?: number;
 }
 
@@ -41,27 +42,27 @@
       readonly kind: 'conflict';
       readonly revision: number;
       readonly author: string;
-      /** From what is stored now to what was to be written. */
+      /** Changes from the stored text to the text of the edit. */
       readonly differences: readonly Difference[];
     }
-  /** Other sections changed under every attempt; nothing was written. */
+  /** Other sections changed during every attempt; nothing was written. */
   | { readonly kind: 'busy'; readonly message: string }
   | KeyValueUnavailable
-  /** The answer was lost and reading back failed as well. */
+  /** The response was lost and reading the section back failed as well. */
   | { readonly kind: 'unknown'; readonly message: string };
 
 export interface DocumentEditor {
   readonly readDocument: () => Promise<StoredDocument | KeyValueUnavailable>;
-  /** Faults that the text would have in the stored document. */
+  /** Finds faults that the text would have in the stored document, without writing it. */
   readonly checkSection: (
     edit: SectionEdit,
   ) => Promise<
     { readonly kind: 'faults'; readonly faults: readonly DocumentFault[] } | KeyValueUnavailable
   >;
   readonly putSection: (edit: SectionEdit) => Promise<EditOutcome>;
-  /** Every accepted text that is still kept, oldest first, the one in force last. */
+  /** Lists the retained accepted texts, oldest first and ending with the one in effect. */
   readonly listHistory: (section: string) => Promise<readonly HistoryEntry[] | undefined>;
-  /** Goes forward: an earlier text becomes a new revision. */
+  /** Writes an earlier text again, as a new revision. */
   readonly revertSection: (
     section: string,
     toRevision: number,
@@ -69,8 +70,8 @@
 }
 
 /**
- * Tens of edits a second on other sections make an attempt fail more often than not; after so many
- * the operator is told to try again later.
+ * At tens of edits per second to other sections, most attempts fail. After this many, the operator
+ * is asked to try again later.
  */
 const MAX_ATTEMPTS = 40;
 const RETRY_MS = 20;
@@ -79,27 +80,27 @@
 interface Attempt {
   readonly edit: SectionEdit;
   readonly writeId: string;
-  readonly expected: number;
+  readonly expectedRevision: number;
   readonly document: StoredDocument;
-  /** An earlier attempt's answer was lost. */
+  /** Whether the response to an earlier attempt was lost. */
   readonly mayBeWritten: boolean;
 }
 
-/** The document is to be read and the attempt made anew. */
-interface AttemptAgain {
-  readonly kind: 'again';
+/** The document has to be read again for another attempt. */
+interface AttemptRetry {
+  readonly kind: 'retry';
   readonly mayBeWritten: boolean;
 }
 
-function reportUnread(mayBeWritten: boolean, outcome: KeyValueUnavailable): EditOutcome {
+function reportReadFailure(mayBeWritten: boolean, outcome: KeyValueUnavailable): EditOutcome {
   if (!mayBeWritten) return outcome;
-  const message = `${outcome.message}; whether it was written shows in "config history" later`;
+  const message = `${outcome.message}; check "config history" later to see whether it was written`;
   return { kind: 'unknown', message };
 }
 
 function reportExhausted(mayBeWritten: boolean): EditOutcome {
   if (mayBeWritten) {
-    const message = 'answers were lost; look into "config history" before trying again';
+    const message = 'responses were lost; check "config history" before trying again';
     return { kind: 'unknown', message };
   }
   const message = 'other sections changed during every attempt; nothing was written, try again';
@@ -116,19 +117,25 @@
     const { edit, writeId } = attempt;
     const envelope = { writeId, at: clock.getWallTime(), author, text: edit.text };
     const key = `${StoredSection.SECTIONS_PREFIX}${edit.section}`;
-    const kept = await SectionHistory.buildHistoryWrites(store, edit.section, envelope, current);
+    const historyWrites = await SectionHistory.buildHistoryWrites(
+      store,
+      edit.section,
+      envelope,
+      current,
+    );
     return [
       { key, value: StoredSection.encodeEnvelope(envelope) },
       { key: StoredSection.LATEST_KEY, value: writeId },
-      ...kept,
+      ...historyWrites,
     ];
   }
 
   async function reportConflict(attempt: Attempt, current: StoredState): Promise<EditOutcome> {
     const { edit, writeId, mayBeWritten } = attempt;
     if (mayBeWritten) {
-      // Failure: the write took effect, its answer was lost, and somebody replaced the text since.
-      // The history tells, as it keeps every text that was accepted.
+      // Failure: the write took effect, its response was lost, and the text has been replaced
+      // since. The history contains every accepted text and thus shows whether this one was
+      // written.
       const history = await SectionHistory.readHistory(store, edit.section);
       if (history === undefined) return reportExhausted(mayBeWritten);
       const found = history.find((entry) => entry.writeId === writeId);
@@ -142,29 +149,34 @@
   async function writeSection(
     attempt: Attempt,
     current: StoredState,
-  ): Promise<EditOutcome | AttemptAgain> {
+  ): Promise<EditOutcome | AttemptRetry> {
     const { edit, document, mayBeWritten } = attempt;
     const outcome = await store.writeTransaction({
       comparisons: [
-        { key: `${StoredSection.SECTIONS_PREFIX}${edit.section}`, revision: attempt.expected },
-        // Failure: two teams claim one name at the same moment; each text is right by itself. The
-        // second one's write fails here, its check is done again on the new document and tells it.
+        {
+          key: `${StoredSection.SECTIONS_PREFIX}${edit.section}`,
+          revision: attempt.expectedRevision,
+        },
+        // Failure: two teams define the same name at the same time, and each text is valid alone.
+        // The second write fails here, and the check against the new document then finds the
+        // conflict.
         { key: StoredSection.LATEST_KEY, revision: document.latestRevision },
       ],
       writes: await buildWrites(attempt, current),
     });
     if (outcome.kind === 'written') return outcome;
-    if (outcome.kind === 'unavailable') return reportUnread(mayBeWritten, outcome);
-    // Failure: the answer was lost after the write took effect. The next look finds our write id; if
-    // it is not there yet, the same comparisons let the write happen at most once.
-    return { kind: 'again', mayBeWritten: mayBeWritten || outcome.kind === 'unknown' };
+    if (outcome.kind === 'unavailable') return reportReadFailure(mayBeWritten, outcome);
+    // Failure: the response was lost after the write took effect. The next attempt finds the write
+    // id in the section; if it is not there yet, the comparisons ensure that at most one write
+    // succeeds.
+    return { kind: 'retry', mayBeWritten: mayBeWritten || outcome.kind === 'unknown' };
   }
 
-  async function runAttempt(attempt: Attempt): Promise<EditOutcome | AttemptAgain> {
-    const { edit, writeId, expected, document } = attempt;
+  async function runAttempt(attempt: Attempt): Promise<EditOutcome | AttemptRetry> {
+    const { edit, writeId, expectedRevision, document } = attempt;
     const current = DocumentReader.getSection(document, edit.section);
     if (current.writeId === writeId) return { kind: 'written', revision: current.revision };
-    if (current.revision !== expected) return reportConflict(attempt, current);
+    if (current.revision !== expectedRevision) return reportConflict(attempt, current);
     if (current.revision !== 0 && current.text === edit.text) {
       return { kind: 'unchanged', revision: current.revision };
     }
@@ -175,14 +187,14 @@
 
   async function applyEdit(edit: SectionEdit): Promise<EditOutcome> {
     const writeId = createWriteId();
-    let expected = edit.ifRevision;
+    let expectedRevision = edit.ifRevision;
     let mayBeWritten = false;
     let document = await readDocument();
     for (let count = 0; count < MAX_ATTEMPTS; count += 1) {
-      if (document.kind === 'unavailable') return reportUnread(mayBeWritten, document);
-      expected ??= DocumentReader.getSection(document, edit.section).revision;
-      const outcome = await runAttempt({ edit, writeId, expected, document, mayBeWritten });
-      if (outcome.kind !== 'again') return outcome;
+      if (document.kind === 'unavailable') return reportReadFailure(mayBeWritten, document);
+      expectedRevision ??= DocumentReader.getSection(document, edit.section).revision;
+      const outcome = await runAttempt({ edit, writeId, expectedRevision, document, mayBeWritten });
+      if (outcome.kind !== 'retry') return outcome;
       mayBeWritten = outcome.mayBeWritten;
       await clock.waitMs(Math.min(MAX_RETRY_MS, RETRY_MS * (1 + count)) * nextRandom());
       document = await DocumentReader.updateDocument(store, document);
@@ -191,12 +203,12 @@
   }
 
   async function listHistory(section: string): Promise<readonly HistoryEntry[] | undefined> {
-    const earlier = await SectionHistory.readHistory(store, section);
+    const history = await SectionHistory.readHistory(store, section);
     const document = await readDocument();
-    if (earlier === undefined || document.kind === 'unavailable') return undefined;
+    if (history === undefined || document.kind === 'unavailable') return undefined;
     const current = document.sections.get(section);
-    const isKept = earlier.some(({ revision }) => revision === current?.revision);
-    return current === undefined || isKept ? earlier : [...earlier, current];
+    const isInHistory = history.some(({ revision }) => revision === current?.revision);
+    return current === undefined || isInHistory ? history : [...history, current];
   }
 
   return {
@@ -211,7 +223,7 @@
     async revertSection(section, toRevision) {
       const history = await listHistory(section);
       if (history === undefined) {
-        return { kind: 'unavailable', message: 'the history was not read' };
+        return { kind: 'unavailable', message: 'the history could not be read' };
       }
       const found = history.find((entry) => entry.revision === toRevision);
       if (found === undefined) return { kind: 'noSuchRevision' };
--- a/packages/sequoiarill-plugin-platform/src/documentReader.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentReader.ts
@@ -1,4 +1,7 @@
-/** The whole stored document as an editor sees it, and what a new text of one section would break. */
+/**
+ * Reads the stored document for an editor, and finds the faults that a new section text would
+ * cause.
+ */
 import type { KeyValueEntry, KeyValueUnavailable } from '@sequoiarill/types';
 
 import * as DocumentChecks from './documentChecks';
@@ -9,19 +12,21 @@
 import type { DocumentFault } from './sectionParser';
 import * as StoredSection from './storedSection';
 
-/** A section as stored; revision 0 and an empty text for one that does not exist. */
+/**
+ * A section as stored. One that does not exist has revision 0 and the text of a removed section.
+ */
 export type StoredState = HistoryEntry;
 
 export interface StoredDocument {
   readonly kind: 'document';
-  /** Revision of the store at which it was read. */
+  /** Revision of the store at which the document was read. */
   readonly revision: number;
   /** Revision of the last accepted edit of any section. */
   readonly latestRevision: number;
   readonly sections: ReadonlyMap<string, StoredState>;
 }
 
-const ABSENT: StoredState = {
+const ABSENT_SECTION: StoredState = {
   revision: 0,
   writeId: '',
   at: '',
@@ -30,7 +35,7 @@
 };
 
 export function getSection(document: StoredDocument, section: string): StoredState {
-  return document.sections.get(section) ?? ABSENT;
+  return document.sections.get(section) ?? ABSENT_SECTION;
 }
 
 function decodeState(entry: KeyValueEntry): [string, StoredState] {
@@ -39,8 +44,8 @@
 }
 
 /**
- * The marker of the last edit is read before the sections, so an edit between the two reads makes the
- * comparison of the marker fail; the other order would let it go unseen.
+ * Reads the marker of the last edit before the sections, so that an edit between the two reads
+ * makes the comparison of the marker fail. In the other order, such an edit would go unnoticed.
  */
 export async function readDocument(
   store: PlatformStore,
@@ -58,22 +63,25 @@
 }
 
 /**
- * The document as it is now, by reading only the sections that changed since.
+ * Updates a document by reading only the sections that changed since.
  *
- * Pattern of load: tens of edits a second on different sections. Reading and checking the whole of a
- * large document for each attempt takes longer than the marker stays the same, so that nobody would
- * get through; sections that did not change keep their objects and what was parsed of them.
+ * With tens of edits per second to different sections, reading and checking all of a large document
+ * for each attempt takes longer than the marker stays unchanged, so no edit would succeed.
+ * Unchanged sections keep their objects, and with them their cached parse results.
  */
 export async function updateDocument(
   store: PlatformStore,
-  known: StoredDocument,
+  previous: StoredDocument,
 ): Promise<StoredDocument | KeyValueUnavailable> {
   const latest = await store.readKey(StoredSection.LATEST_KEY);
   if (latest.kind === 'unavailable') return latest;
-  const newest = Math.max(0, ...[...known.sections.values()].map(({ revision }) => revision));
-  const changed = await store.readChangedKeys(StoredSection.SECTIONS_PREFIX, newest);
+  const newestRevision = Math.max(
+    0,
+    ...[...previous.sections.values()].map(({ revision }) => revision),
+  );
+  const changed = await store.readChangedKeys(StoredSection.SECTIONS_PREFIX, newestRevision);
   if (changed.kind === 'unavailable') return changed;
-  const sections = new Map(known.sections);
+  const sections = new Map(previous.sections);
   for (const { key } of changed.entries) {
     const range = await store.readKey(key);
     if (range.kind === 'unavailable') return range;
@@ -83,13 +91,13 @@
   return { kind: 'document', revision: changed.revision, latestRevision, sections };
 }
 
-/** What was parsed of a stored section, for as long as the section stays the same. */
+/** Parse results of stored sections, cached for as long as a section does not change. */
 const parsedByState = new WeakMap<StoredState, readonly CheckedSection[]>();
 
-/** Empty for one that was damaged by other means; it does not block the rest. */
+/** Returns nothing for a section that does not parse, so that it does not block edits of others. */
 function parseState(name: string, state: StoredState): readonly CheckedSection[] {
-  const known = parsedByState.get(state);
-  if (known !== undefined) return known;
+  const cached = parsedByState.get(state);
+  if (cached !== undefined) return cached;
   const result = SectionParser.parseSection(state.text, 'platform', name);
   const sections: readonly CheckedSection[] =
     result.kind === 'section' ? [{ name, file: 'platform', content: result.content }] : [];
@@ -98,8 +106,8 @@
 }
 
 /**
- * Every fault that the new text has or causes. Faults that other sections had before are theirs to
- * mend: they do not keep this team from its change.
+ * Finds all faults that the new text has or causes. Faults that other sections already had do not
+ * block the edit.
  */
 export function checkEdit(
   document: StoredDocument,
@@ -120,7 +128,7 @@
   ];
 }
 
-/** What a file has wrong by itself, without the rest of the document. */
+/** Finds faults of a file that do not depend on the rest of the document. */
 export function checkStandalone(
   text: string,
   file: string,
@@ -128,5 +136,5 @@
 ): readonly DocumentFault[] {
   const result = SectionParser.parseSection(text, file, section);
   if (result.kind === 'faults') return result.faults;
-  return DocumentChecks.checkAloneSection({ name: section, file, content: result.content });
+  return DocumentChecks.checkStandaloneSection({ name: section, file, content: result.content });
 }
--- a/packages/sequoiarill-plugin-platform/src/documentRecords.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentRecords.ts
@@ -1,12 +1,13 @@
 /**
- * What is followed and passed between routers: sections, and the VMs of the platform's own list as
- * records of the same form, so that both travel the same way.
+ * Records that are watched in the platform and replicated between routers: sections of the
+ * document, and the VMs of the platform's own list. Both have the same form, so they are handled
+ * alike.
  */
 import type { ConfigurationSection, KeyChange, KeyValueEntry } from '@sequoiarill/types';
 
 import * as StoredSection from './storedSection';
 
-/** Names of sections hold no colon, so a VM's record is never taken for a section. */
+/** Section names contain no colon, so a VM record is never mistaken for a section. */
 const VM_PREFIX = 'vm:';
 
 export function isVmRecord(record: Pick<ConfigurationSection, 'name'>): boolean {
@@ -17,12 +18,12 @@
   return record.name.slice(VM_PREFIX.length);
 }
 
-/** One of the two places in the platform that are followed. */
+/** One of the two key ranges in the platform that are watched. */
 export interface RecordSource {
   readonly prefix: string;
   readonly decodeName: (key: string) => string;
   readonly decodeText: (value: string) => string;
-  /** What the removal of a key means. */
+  /** Text of the record that stands for a removed key. */
   readonly removedText: string;
 }
 
--- a/packages/sequoiarill-plugin-platform/src/documentSchema.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentSchema.ts
@@ -1,24 +1,24 @@
 /**
- * Schema of one section of the configuration document. A section belongs to one team and holds
- * object maps by name, so that a change of one entry is a change of one key path.
+ * Schema of one section of the configuration document. A section belongs to one team and consists
+ * of maps by name instead of lists, so that changing one entry changes one key path.
  */
 import * as Kernel from '@sequoiarill/kernel';
 import * as Zod from 'zod';
 
-/** Least and most of a priority: 0 is served first, 9 is turned away first. */
+/** Priorities range from 0, served first, to 9, refused first under overload. */
 const PRIORITY_MAX = 9;
 const WEIGHT_MAX = 1_000;
 const TOKENS_MAX = 10_000_000;
 const SLOTS_MAX = 100_000;
 const TIMEOUT_MAX_MS = 600_000;
 
-/** Given to an organisation that names none; a middle place that nobody has to think about. */
+/** Medium priority, for organisations that set none. */
 const DEFAULT_PRIORITY = 5;
 const DEFAULT_WEIGHT = 1;
-/** An answer of a few pages. */
+/** Enough for a few pages of text. */
 const DEFAULT_OUTPUT_TOKENS = 4_096;
 const DEFAULT_SERVICE_TIMEOUT_MS = 10_000;
-/** Methods that HTTP itself defines as idempotent. */
+/** Methods that the HTTP specification defines as idempotent. */
 const IDEMPOTENT_METHODS = ['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'];
 
 const NAME_HINT =
@@ -26,7 +26,7 @@
 const nameSchema = Zod.string().regex(/^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$/, NAME_HINT);
 const SECTION_HINT = 'use lower-case letters, digits and dashes, at most 64';
 
-/** Names of sections become parts of keys and of command lines. */
+/** Section names are used in keys and on command lines. */
 export const sectionNameSchema = Zod.string().regex(/^[a-z0-9][a-z0-9-]{0,63}$/, SECTION_HINT);
 
 const hexSchema = Zod.string().regex(/^([0-9a-f]{2})+$/, 'use lower-case hexadecimal');
@@ -97,5 +97,5 @@
 
 export type SectionContent = Readonly<Zod.infer<typeof sectionSchema>>;
 
-/** A record of the platform's own list of VMs. */
+/** Record of the platform's own list of VMs. */
 export const vmRecordSchema = Zod.object({ state: Zod.enum(['live', 'leaving']) });
--- a/packages/sequoiarill-plugin-platform/src/gatewayCaller.ts
+++ b/packages/sequoiarill-plugin-platform/src/gatewayClient.ts
@@ -1,53 +1,53 @@
 /**
- * One call to the platform's gateway over undici: endpoints in turn, a time limit, a bounded answer.
- * What matters to callers is whether a failed call can have taken effect.
+ * HTTP client of the platform's gateway, with endpoint failover, a timeout and a bounded response
+ * size. The outcome of a failed call states whether the call can have taken effect.
  */
 import * as Undici from 'undici';
 import type { ZodType } from 'zod';
 
 import * as Messages from './gatewayMessages';
 
-/** The call reached no gateway, or the gateway refused it without running it. */
+/** The call reached no gateway, or the gateway rejected it before running it. */
 export interface CallNotRun {
   readonly kind: 'notRun';
   readonly message: string;
 }
 
-/** Bytes were sent and no usable answer came: it ran or it did not. */
+/** The request was sent but no usable response arrived, so the call may have taken effect. */
 export interface CallUnknown {
   readonly kind: 'unknown';
   readonly message: string;
 }
 
-/** The answer was longer than the bound; only reads are asked again in smaller parts. */
+/** The response exceeded the size limit. Only reads are repeated, with smaller pages. */
 export interface CallTooLarge {
   readonly kind: 'tooLarge';
   readonly message: string;
 }
 
-export interface CallAnswer<Answer> {
+export interface CallResponse<Payload> {
   readonly kind: 'answer';
-  readonly answer: Answer;
+  readonly response: Payload;
 }
 
-export type CallOutcome<Answer> = CallAnswer<Answer> | CallNotRun | CallUnknown | CallTooLarge;
+export type CallOutcome<Payload> = CallResponse<Payload> | CallNotRun | CallUnknown | CallTooLarge;
 
-export interface GatewayOptions {
-  /** `IP:port` of each gateway; the first that takes a connection is kept. */
+export interface GatewayClientOptions {
+  /** `IP:port` of each gateway. The client stays with the first one that responds. */
   readonly endpoints: readonly string[];
   readonly callTimeoutMs: number;
   readonly credentials?: Readonly<{ username: string; password: string }>;
-  /** Longest answer taken in, in bytes. */
-  readonly maxAnswerBytes?: number;
+  /** Largest accepted response, in bytes. */
+  readonly maxResponseBytes?: number;
 }
 
-export interface GatewayCaller {
-  readonly callGateway: <Answer>(
+export interface GatewayClient {
+  readonly callGateway: <Payload>(
     path: string,
     body: object,
-    schema: ZodType<Answer>,
-  ) => Promise<CallOutcome<Answer>>;
-  /** Opens a call whose answer is a stream of lines; undefined when none could be opened. */
+    schema: ZodType<Payload>,
+  ) => Promise<CallOutcome<Payload>>;
+  /** Opens a call whose response is a stream of lines, or returns undefined on failure. */
   readonly openStream: (
     path: string,
     body: object,
@@ -56,15 +56,15 @@
   readonly close: () => Promise<void>;
 }
 
-/** A page of the largest values (1 MB, a third more in base64) fits many times over. */
-const MAX_ANSWER_BYTES = 64 * 1_048_576;
-/** A share of the call's time, so that a failed connection is told apart from a lost answer. */
-const CONNECT_SHARE = 0.5;
+/** Leaves room for dozens of the largest values (1 MB each, a third more in base64). */
+const MAX_RESPONSE_BYTES = 64 * 1_048_576;
+/** Share of the call timeout, so that a failed connection is distinguished from a lost response. */
+const CONNECT_TIMEOUT_SHARE = 0.5;
 const HTTP_OK = 200;
 const HTTP_UNAUTHORIZED = 401;
 const HTTP_SERVER_ERROR = 500;
 
-/** Errors that undici and the system give only before any byte of the request was sent. */
+/** Errors that undici and the system raise only before any byte of the request was sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -83,7 +83,7 @@
   return `${endpoint}: ${message === undefined || message === '' ? code : message}`;
 }
 
-/** Collects an answer up to the bound; undefined beyond it. */
+/** Reads a response body, or returns undefined if it exceeds `maxBytes`. */
 async function readBounded(
   body: AsyncIterable<Uint8Array>,
   maxBytes: number,
@@ -98,31 +98,31 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-function decodeAnswer<Answer>(text: string, schema: ZodType<Answer>): CallOutcome<Answer> {
+function decodeResponse<Payload>(text: string, schema: ZodType<Payload>): CallOutcome<Payload> {
   try {
-    // A streamed method answers with one object a line; a single call needs the first.
+    // Streaming methods respond with one JSON object per line. A unary call needs only the first.
     const [line = ''] = text.split('\n', 1);
     const parsed = schema.safeParse(JSON.parse(line));
-    if (parsed.success) return { kind: 'answer', answer: parsed.data };
-    return { kind: 'unknown', message: `unexpected answer: ${parsed.error.message}` };
+    if (parsed.success) return { kind: 'answer', response: parsed.data };
+    return { kind: 'unknown', message: `unexpected response: ${parsed.error.message}` };
   } catch {
-    return { kind: 'unknown', message: 'the answer is no JSON' };
+    return { kind: 'unknown', message: 'the response is not valid JSON' };
   }
 }
 
-export function createGatewayCaller(options: GatewayOptions): GatewayCaller {
+export function createGatewayClient(options: GatewayClientOptions): GatewayClient {
   const { endpoints, callTimeoutMs, credentials } = options;
-  const maxAnswerBytes = options.maxAnswerBytes ?? MAX_ANSWER_BYTES;
+  const maxResponseBytes = options.maxResponseBytes ?? MAX_RESPONSE_BYTES;
   const agent = new Undici.Agent({
-    connect: { timeout: callTimeoutMs * CONNECT_SHARE },
+    connect: { timeout: callTimeoutMs * CONNECT_TIMEOUT_SHARE },
     headersTimeout: callTimeoutMs,
     bodyTimeout: callTimeoutMs,
   });
-  let preferred = 0;
+  let activeIndex = 0;
   let token: string | undefined;
 
   function getEndpoint(offset: number): string {
-    return endpoints[(preferred + offset) % endpoints.length] as string;
+    return endpoints[(activeIndex + offset) % endpoints.length] as string;
   }
 
   function sendRequest(endpoint: string, path: string, body: object, signal: AbortSignal) {
@@ -138,21 +138,21 @@
     });
   }
 
-  async function callEndpoint<Answer>(
+  async function callEndpoint<Payload>(
     endpoint: string,
     path: string,
     body: object,
-    schema: ZodType<Answer>,
-  ): Promise<CallOutcome<Answer> | { readonly kind: 'unauthorized' }> {
+    schema: ZodType<Payload>,
+  ): Promise<CallOutcome<Payload> | { readonly kind: 'unauthorized' }> {
     try {
       const signal = AbortSignal.timeout(callTimeoutMs);
       const response = await sendRequest(endpoint, path, body, signal);
-      const text = await readBounded(response.body, maxAnswerBytes);
-      if (text === undefined) return { kind: 'tooLarge', message: `${endpoint}: answer too long` };
-      if (response.statusCode === HTTP_OK) return decodeAnswer(text, schema);
+      const text = await readBounded(response.body, maxResponseBytes);
+      if (text === undefined) return { kind: 'tooLarge', message: `${endpoint}: response too big` };
+      if (response.statusCode === HTTP_OK) return decodeResponse(text, schema);
       if (response.statusCode === HTTP_UNAUTHORIZED) return { kind: 'unauthorized' };
       const message = `${endpoint}: status ${response.statusCode}: ${text.slice(0, 200)}`;
-      // A refusal (4xx) comes before the write; a server error can come after it.
+      // A 4xx status precedes the write; a 5xx status can follow it.
       return { kind: response.statusCode < HTTP_SERVER_ERROR ? 'notRun' : 'unknown', message };
     } catch (error) {
       const message = formatError(endpoint, error);
@@ -171,39 +171,40 @@
       Messages.authenticationSchema,
     );
     if (outcome.kind !== 'answer') return false;
-    token = outcome.answer.token;
+    token = outcome.response.token;
     return true;
   }
 
-  async function callAuthorized<Answer>(
+  async function callAuthorized<Payload>(
     endpoint: string,
     path: string,
     body: object,
-    schema: ZodType<Answer>,
-  ): Promise<CallOutcome<Answer>> {
+    schema: ZodType<Payload>,
+  ): Promise<CallOutcome<Payload>> {
     const outcome = await callEndpoint(endpoint, path, body, schema);
     if (outcome.kind !== 'unauthorized') return outcome;
     const refused: CallNotRun = { kind: 'notRun', message: `${endpoint}: credentials refused` };
     if (!(await updateToken(endpoint))) return refused;
-    const again = await callEndpoint(endpoint, path, body, schema);
-    return again.kind === 'unauthorized' ? refused : again;
+    const retried = await callEndpoint(endpoint, path, body, schema);
+    return retried.kind === 'unauthorized' ? refused : retried;
   }
 
   return {
     async callGateway(path, body, schema) {
-      let outcome: CallOutcome<never> = { kind: 'notRun', message: 'no endpoint is set' };
+      let outcome: CallOutcome<never> = { kind: 'notRun', message: 'no endpoint is configured' };
       for (let offset = 0; offset < endpoints.length; offset += 1) {
         const current = await callAuthorized(getEndpoint(offset), path, body, schema);
-        if (current.kind === 'answer') preferred = (preferred + offset) % endpoints.length;
+        if (current.kind === 'answer') activeIndex = (activeIndex + offset) % endpoints.length;
         if (current.kind !== 'notRun') return current;
         outcome = current;
       }
-      preferred = (preferred + 1) % Math.max(1, endpoints.length);
+      activeIndex = (activeIndex + 1) % Math.max(1, endpoints.length);
       return outcome;
     },
     async openStream(path, body, signal) {
       try {
-        // A watch may be silent for hours; its reader notices an outage by calls beside it.
+        // A watch may be idle for hours, so it has no timeout; its reader detects outages by other
+        // calls.
         const response = await Undici.request(`http://${getEndpoint(0)}${path}`, {
           method: 'POST',
           dispatcher: agent,
--- a/packages/sequoiarill-plugin-platform/src/gatewayMessages.ts
+++ b/packages/sequoiarill-plugin-platform/src/gatewayMessages.ts
@@ -1,11 +1,13 @@
 /**
- * Messages of the JSON gateway of etcd v3, as published in its API reference. Keys and values are
- * base64, 64-bit integers are strings, and fields with their default value are left out of answers.
+ * Messages of the etcd v3 JSON gateway, as published in its API reference. Keys and values are
+ * base64, 64-bit integers are strings, and responses omit fields that have their default value.
  */
 import type { KeyChange, KeyValueEntry } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
-/** Sixteen digits and more lose precision as a number; revisions stay far below, leases do not. */
+/**
+ * Numbers lose precision from 16 digits on. Lease ids reach that length; revisions stay far below.
+ */
 const int64Schema = Zod.union([Zod.string(), Zod.number()]).transform(String);
 const revisionSchema = int64Schema.transform(Number).default(0);
 
@@ -70,7 +72,7 @@
   return Buffer.from(base64, 'base64').toString('utf8');
 }
 
-/** End of the range that holds every key beginning with the prefix: its last byte raised by one. */
+/** End of the range of all keys with the prefix: the prefix with its last byte incremented. */
 export function encodePrefixEnd(prefix: string): string {
   const bytes = Buffer.from(prefix, 'utf8');
   const last = bytes.length - 1;
@@ -78,7 +80,7 @@
   return bytes.toString('base64');
 }
 
-/** Turns a stored entry into ours, below the prefix that all keys of this system share. */
+/** Decodes an entry and strips the key prefix of this installation. */
 export function decodeEntry(entry: WireEntry, keyPrefix: string): KeyValueEntry {
   return {
     key: decodeText(entry.key).slice(keyPrefix.length),
--- a/packages/sequoiarill-plugin-platform/src/index.ts
+++ b/packages/sequoiarill-plugin-platform/src/index.ts
@@ -5,16 +5,16 @@
 
 Kernel.registerPlugin(platformPlugin);
 
+export * from './announcementStore';
 export * from './configurationBuilder';
-export * from './configurationNews';
 export * from './configurationState';
+export * from './configurationSync';
 export * from './documentDiff';
 export * from './documentEditor';
 export * from './documentReader';
 export * from './documentSchema';
-export * from './followedConfiguration';
 export * from './keyValueStore';
-export * from './leaseKeeper';
+export * from './leaderElection';
 export * from './metrics';
 export * from './platformConnection';
 export * from './platformPlugin';
--- a/packages/sequoiarill-plugin-platform/src/keyValueStore.ts
+++ b/packages/sequoiarill-plugin-platform/src/keyValueStore.ts
@@ -1,6 +1,7 @@
 /**
- * The platform's key-value service over the JSON gateway of etcd v3. Every key of this system lies
- * below one prefix; callers name keys without it, so that two installations can share a platform.
+ * The platform's key-value service, accessed through the etcd v3 JSON gateway. All keys of an
+ * installation share a prefix, so that several installations can use one platform. Callers pass
+ * keys without that prefix.
  */
 import type {
   KeyComparison,
@@ -16,13 +17,13 @@
 import type { ZodType } from 'zod';
 
 import type { CallCounter, CallKind } from './callCounter';
-import type { CallOutcome, GatewayCaller } from './gatewayCaller';
+import type { CallOutcome, GatewayClient } from './gatewayClient';
 import * as Messages from './gatewayMessages';
 import * as LineReader from './lineReader';
 
-/** The store, and a read that only this plug-in needs. */
+/** The key-value store with an additional read that only this plug-in uses. */
 export interface PlatformStore extends KeyValueStore {
-  /** Keys below the prefix changed after a revision, without values: cheap to ask each second. */
+  /** Keys changed after a revision, without values: cheap enough to read every second. */
   readonly readChangedKeys: (
     prefix: string,
     afterRevision: number,
@@ -30,12 +31,12 @@
 }
 
 export interface KeyValueStoreOptions {
-  readonly gateway: GatewayCaller;
+  readonly gateway: GatewayClient;
   readonly counter: CallCounter;
   readonly keyPrefix: string;
 }
 
-/** Values of a page: 6,700 VM records are read in seven calls. Halved when the answer is too long. */
+/** Keys per page: 6,700 VM records take seven calls. Halved if the response is too long. */
 const PAGE_KEYS = 1_000;
 
 type FailedCall = Exclude<CallOutcome<never>, { readonly kind: 'answer' }>;
@@ -44,12 +45,14 @@
   return { kind: 'unavailable', message: outcome.message };
 }
 
-/** A write with a lost answer stays unknown: telling it as not written would be sent twice. */
+/**
+ * If the response was lost, the outcome is unknown: "not written" would make callers write twice.
+ */
 function reportFailedWrite(outcome: FailedCall): KeyValueUnavailable | KeyValueUnknown {
   return { kind: outcome.kind === 'notRun' ? 'unavailable' : 'unknown', message: outcome.message };
 }
 
-function compareFields(revision: number): object {
+function buildRevisionComparison(revision: number): object {
   return { target: 'MOD', result: 'EQUAL', modRevision: String(revision) };
 }
 
@@ -67,12 +70,12 @@
     return Messages.encodeText(`${keyPrefix}${key}`);
   }
 
-  async function callCounted<Answer>(
+  async function callCounted<Payload>(
     kind: CallKind,
     path: string,
     body: object,
-    schema: ZodType<Answer>,
-  ): Promise<CallOutcome<Answer>> {
+    schema: ZodType<Payload>,
+  ): Promise<CallOutcome<Payload>> {
     counter.addCall(kind);
     const startedMs = performance.now();
     const outcome = await gateway.callGateway(path, body, schema);
@@ -81,7 +84,7 @@
   }
 
   function encodeComparison(comparison: KeyComparison): object {
-    return { key: encodeKey(comparison.key), ...compareFields(comparison.revision) };
+    return { key: encodeKey(comparison.key), ...buildRevisionComparison(comparison.revision) };
   }
 
   function encodeWrite(write: KeyWrite): object {
@@ -98,9 +101,9 @@
   }
 
   /**
-   * Reads page by page. The revision is that of the first page: entries of later pages may be newer,
-   * never older, so whoever watches on from it misses nothing. Asking for later pages as of that
-   * revision instead would fail whenever the platform compacts in between.
+   * Reads page by page and returns the revision of the first page. Entries of later pages may be
+   * newer but never older, so a watch that starts at this revision misses nothing. Pinning later
+   * pages to this revision would fail whenever the platform compacts in between.
    */
   async function readPages(request: RangeRequest): Promise<KeyValueRange | KeyValueUnavailable> {
     const entries: KeyValueEntry[] = [];
@@ -114,7 +117,7 @@
         continue;
       }
       if (outcome.kind !== 'answer') return reportUnavailable(outcome);
-      const { header, kvs, more } = outcome.answer;
+      const { header, kvs, more } = outcome.response;
       if (revision === 0) revision = header.revision;
       entries.push(...kvs.map((kv) => Messages.decodeEntry(kv, keyPrefix)));
       const last = kvs.at(-1);
@@ -138,7 +141,7 @@
     };
     const outcome = await callCounted('write', '/v3/kv/txn', body, Messages.transactionSchema);
     if (outcome.kind !== 'answer') return reportFailedWrite(outcome);
-    const { header, succeeded, responses } = outcome.answer;
+    const { header, succeeded, responses } = outcome.response;
     if (succeeded) return { kind: 'written', revision: header.revision } as const;
     const kvs = responses.flatMap((response) => response.response_range?.kvs ?? []);
     const current = kvs.map((kv) => Messages.decodeEntry(kv, keyPrefix));
@@ -163,7 +166,7 @@
         if (event !== 'created' && event.kind === 'compacted') return;
       }
     } catch {
-      // The connection broke or was aborted; the caller watches anew from what it has.
+      // The connection broke or was aborted. The caller opens a new watch from its last revision.
     }
   }
 
@@ -186,7 +189,7 @@
       const body = { TTL: String(ttlSeconds) };
       const outcome = await callCounted('write', '/v3/lease/grant', body, Messages.leaseSchema);
       if (outcome.kind !== 'answer') return reportFailedWrite(outcome);
-      const { ID: leaseId, TTL } = outcome.answer;
+      const { ID: leaseId, TTL } = outcome.response;
       return { kind: 'granted', leaseId, ttlSeconds: TTL };
     },
     async refreshLease(leaseId) {
@@ -194,8 +197,8 @@
       const path = '/v3/lease/keepalive';
       const outcome = await callCounted('write', path, body, Messages.keepAliveSchema);
       if (outcome.kind !== 'answer') return reportUnavailable(outcome);
-      const ttlSeconds = outcome.answer.result?.TTL ?? 0;
-      // The service tells the end of a lease by a time to live of zero.
+      const ttlSeconds = outcome.response.result?.TTL ?? 0;
+      // The service reports an expired lease with a time to live of zero.
       return ttlSeconds > 0 ? { kind: 'granted', leaseId, ttlSeconds } : { kind: 'expired' };
     },
     async revokeLease(leaseId) {
@@ -204,7 +207,7 @@
   };
 }
 
-/** One message of a watch; a cancelled or unreadable one ends it. */
+/** Decodes one message of a watch. A cancelled or invalid one ends the watch. */
 function decodeWatchLine(line: string, keyPrefix: string): WatchEvent | 'created' | 'ended' {
   const parsed = Messages.watchSchema.safeParse(JSON.parse(line));
   const message = parsed.success ? parsed.data.result : undefined;
@@ -216,7 +219,8 @@
   if (message.created && message.events.length === 0) return 'created';
   const changes = Messages.decodeChanges(message, keyPrefix);
   const revision = Math.max(0, ...changes.map((change) => change.revision));
-  // The header's revision may run ahead of the events still to come; only progress may use it.
+  // The header's revision may be ahead of events that have not been delivered yet, so only
+  // progress notifications, which carry no events, may use it.
   return {
     kind: 'changes',
     revision: changes.length > 0 ? revision : message.header.revision,
--- a/packages/sequoiarill-plugin-platform/src/metrics.ts
+++ b/packages/sequoiarill-plugin-platform/src/metrics.ts
@@ -4,23 +4,24 @@
   {
     name: 'platform.reads',
     unit: 'calls',
-    meaning: 'Reads sent to the platform, out of its budget of about two thousand a second',
+    meaning: 'Reads sent to the platform, which allows about 2,000 per second in total',
   },
   {
     name: 'platform.writes',
     unit: 'calls',
-    meaning: 'Writes and lease calls sent to the platform, out of several hundred a second',
+    meaning:
+      'Writes and lease calls sent to the platform, which allows several hundred per second in total',
   },
   { name: 'platform.watches', unit: 'calls', meaning: 'Watches opened' },
   {
     name: 'platform.call_ms',
     unit: 'ms',
-    meaning: 'Time of one call, tagged with its kind (read or write) and outcome',
+    meaning: 'Duration of one call, tagged with its kind (read or write) and outcome',
   },
   {
     name: 'configuration.revision',
     unit: 'revision',
-    meaning: 'Revision of the configuration in force on this process',
+    meaning: 'Revision of the configuration applied in this process',
   },
   {
     name: 'configuration.build_ms',
--- a/packages/sequoiarill-plugin-platform/src/platformConnection.ts
+++ b/packages/sequoiarill-plugin-platform/src/platformConnection.ts
@@ -1,9 +1,9 @@
-/** Opens the key-value store that a settings section describes. */
+/** Connects to the key-value service that the settings section `[platform]` describes. */
 import { readFileSync } from 'node:fs';
 
 import * as CallCounters from './callCounter';
 import type { CallCounter, CallMetrics } from './callCounter';
-import * as GatewayCallers from './gatewayCaller';
+import * as GatewayClients from './gatewayClient';
 import * as KeyValueStores from './keyValueStore';
 import type { PlatformStore } from './keyValueStore';
 import type { PlatformSettings } from './platformSettings';
@@ -31,7 +31,7 @@
 ): PlatformConnection {
   const { endpoints, callTimeoutMs, keyPrefix } = settings;
   const credentials = readCredentials(settings);
-  const gateway = GatewayCallers.createGatewayCaller({
+  const gateway = GatewayClients.createGatewayClient({
     endpoints,
     callTimeoutMs,
     ...credentials,
--- a/packages/sequoiarill-plugin-platform/src/platformPlugin.ts
+++ b/packages/sequoiarill-plugin-platform/src/platformPlugin.ts
@@ -1,42 +1,44 @@
-/** Plug-in `platform`: the key-value service, the configuration and its exchange. */
+/** Plug-in `platform`: access to the key-value service, and the configuration stored in it. */
 import type { Plugin, PluginContext, PluginInstance } from '@sequoiarill/types';
 
 import type { ConfigurationState } from './configurationState';
+import * as ConfigurationSyncs from './configurationSync';
 import * as Events from './events';
-import * as FollowedConfigurations from './followedConfiguration';
 import * as PlatformConnections from './platformConnection';
 import { platformSchema } from './platformSettings';
 import type { PlatformSettings } from './platformSettings';
 
-/** Waits for the first configuration, so that a router that is ready knows its organisations. */
-async function waitForFirst(
+/**
+ * Waits for the first configuration, so that a router does not report ready without organisations.
+ */
+async function waitForInitialConfiguration(
   state: ConfigurationState,
   context: PluginContext,
   limitMs: number,
 ): Promise<void> {
   if (state.getConfiguration().revision > 0) return;
-  const first = new AbortController();
-  const unsubscribe = state.subscribeConfiguration(() => first.abort());
-  await context.clock.waitMs(limitMs, first.signal);
+  const received = new AbortController();
+  const unsubscribe = state.subscribeConfiguration(() => received.abort());
+  await context.clock.waitMs(limitMs, received.signal);
   unsubscribe();
 }
 
 function createInstance(context: PluginContext, settings: PlatformSettings): PluginInstance {
   const connection = PlatformConnections.openPlatform(settings, context.metrics);
   const { store, counter } = connection;
-  const followed = FollowedConfigurations.createFollowedConfiguration({
+  const sync = ConfigurationSyncs.createConfigurationSync({
     ...context,
     mode: settings.reader,
     store,
   });
-  const { state } = followed;
+  const { state } = sync;
   const stopping = new AbortController();
   let running: Promise<void> | undefined;
   return {
     capabilities: { configuration: state, configurationExchange: state, keyValue: store },
     async start() {
-      running = followed.run(stopping.signal);
-      await waitForFirst(state, context, settings.startWaitMs);
+      running = sync.run(stopping.signal);
+      await waitForInitialConfiguration(state, context, settings.startWaitMs);
     },
     async stop() {
       stopping.abort();
@@ -45,8 +47,8 @@
     },
     dumpState: () => ({
       endpoints: settings.endpoints,
-      isAway: followed.isAway(),
-      isReader: followed.isReader(),
+      isAway: sync.isUnavailable(),
+      isReader: sync.isReader(),
       calls: counter.getCounts(),
       configuration: state.dumpState(),
     }),
--- a/packages/sequoiarill-plugin-platform/src/platformReader.ts
+++ b/packages/sequoiarill-plugin-platform/src/platformReader.ts
@@ -1,79 +1,80 @@
-/** One session of reading the platform: everything once, then watches and a confirmation a second. */
+/** Reads the platform in sessions: a full read, then watches and one confirming read per second. */
 import type { Clock } from '@sequoiarill/types';
 
-import type { FollowOutcome, SourceFollower } from './sourceFollower';
+import type { ReadOutcome, SourceWatcher } from './sourceWatcher';
 
 export interface PlatformReaderOptions {
-  readonly followers: readonly SourceFollower[];
+  readonly watchers: readonly SourceWatcher[];
   readonly clock: Clock;
-  /** Told the revision up to which every change is known. */
+  /** Receives the revision up to which every change is known. */
   readonly handleConfirmed: (revision: number) => void;
-  readonly markAway: (isAway: boolean) => void;
-  /** Called after everything was read, before it is told as confirmed. */
+  readonly markUnavailable: (isUnavailable: boolean) => void;
+  /** Called after a full read, before its revision is reported as confirmed. */
   readonly handleRead: () => Promise<void>;
 }
 
 export interface PlatformReader {
-  readonly readOnce: () => Promise<FollowOutcome>;
-  /** A watch brought something. */
+  readonly readOnce: () => Promise<ReadOutcome>;
+  /** Call it when a watch has delivered changes. */
   readonly handleChange: () => void;
-  /** Runs until the signal is aborted or the duty is lost. */
+  /** Runs until the signal is aborted or `isAllowed` returns false because the role was lost. */
   readonly runSession: (signal: AbortSignal, isAllowed: () => boolean) => Promise<void>;
 }
 
-/** Well below the age at which others take the reader for lost. */
+/** Well below the age at which other routers consider the reader lost. */
 const CONFIRM_INTERVAL_MS = 1_000;
-/** After a change the confirmation comes early, since peers are told only what is confirmed. */
+/** Confirms earlier after a change, because peers receive only confirmed changes. */
 const EARLY_CONFIRM_MS = 200;
-/** Only the holder of the duty asks at this pace while the platform is away. */
+/** While the platform is unavailable, only the router with the reader role retries at this rate. */
 const READ_RETRY_MS = 500;
 
 export function createPlatformReader(options: PlatformReaderOptions): PlatformReader {
-  const { followers, clock, markAway } = options;
-  let change = new AbortController();
+  const { watchers, clock, markUnavailable } = options;
+  let changeNotice = new AbortController();
 
-  /** Asks all followers; what is confirmed for the whole is what the least of them confirms. */
+  /** Reads with all watchers. The confirmed revision is the lowest that one of them confirms. */
   async function mergeOutcomes(
-    readFollower: (follower: SourceFollower) => Promise<FollowOutcome>,
-  ): Promise<FollowOutcome> {
+    readSource: (watcher: SourceWatcher) => Promise<ReadOutcome>,
+  ): Promise<ReadOutcome> {
     let revision = Number.POSITIVE_INFINITY;
-    for (const follower of followers) {
-      const outcome = await readFollower(follower);
-      markAway(outcome.kind === 'unavailable');
+    for (const watcher of watchers) {
+      const outcome = await readSource(watcher);
+      markUnavailable(outcome.kind === 'unavailable');
       if (outcome.kind === 'unavailable') return outcome;
       revision = Math.min(revision, outcome.revision);
     }
     return { kind: 'confirmed', revision };
   }
 
-  /** A second, or a fifth of it when something changed. */
+  /** Waits for one second, or a fifth of it after a change. */
   async function waitForNext(signal: AbortSignal): Promise<void> {
-    change = new AbortController();
+    changeNotice = new AbortController();
     await clock.waitMs(EARLY_CONFIRM_MS, signal);
-    const isEnough = signal.aborted || change.signal.aborted;
-    if (isEnough) return;
-    await clock.waitMs(CONFIRM_INTERVAL_MS - EARLY_CONFIRM_MS, change.signal);
+    const isDone = signal.aborted || changeNotice.signal.aborted;
+    if (isDone) return;
+    await clock.waitMs(CONFIRM_INTERVAL_MS - EARLY_CONFIRM_MS, changeNotice.signal);
   }
 
   async function runConfirmations(signal: AbortSignal, isAllowed: () => boolean): Promise<void> {
-    // One listener for the session; a combined signal for each wait would pile up on the long one.
-    signal.addEventListener('abort', () => change.abort(), { once: true });
+    // One listener per session: a combined signal per wait would accumulate listeners on `signal`.
+    signal.addEventListener('abort', () => changeNotice.abort(), { once: true });
     while (!signal.aborted && isAllowed()) {
       await waitForNext(signal);
       if (signal.aborted || !isAllowed()) return;
-      const outcome = await mergeOutcomes((follower) => follower.checkRevision());
-      // The holder may have been paused while the answer was under way.
+      const outcome = await mergeOutcomes((watcher) => watcher.checkRevision());
+      // The role may have been lost, for example by a process pause, while the response was
+      // pending.
       if (outcome.kind === 'confirmed' && isAllowed()) options.handleConfirmed(outcome.revision);
     }
   }
 
-  async function readOnce(): Promise<FollowOutcome> {
-    const outcome = await mergeOutcomes((follower) => follower.readAll());
+  async function readOnce(): Promise<ReadOutcome> {
+    const outcome = await mergeOutcomes((watcher) => watcher.readAll());
     if (outcome.kind === 'confirmed') await options.handleRead();
     return outcome;
   }
 
-  async function readFirst(signal: AbortSignal, isAllowed: () => boolean): Promise<void> {
+  async function readInitial(signal: AbortSignal, isAllowed: () => boolean): Promise<void> {
     let outcome = await readOnce();
     while (outcome.kind === 'unavailable' && !signal.aborted && isAllowed()) {
       await clock.waitMs(READ_RETRY_MS, signal);
@@ -84,12 +85,12 @@
 
   return {
     readOnce,
-    handleChange: () => change.abort(),
+    handleChange: () => changeNotice.abort(),
     async runSession(signal, isAllowed) {
-      await readFirst(signal, isAllowed);
+      await readInitial(signal, isAllowed);
       const stop = new AbortController();
-      const watched = AbortSignal.any([signal, stop.signal]);
-      const watches = followers.map((follower) => follower.runWatch(watched));
+      const watchSignal = AbortSignal.any([signal, stop.signal]);
+      const watches = watchers.map((watcher) => watcher.runWatch(watchSignal));
       await runConfirmations(signal, isAllowed);
       stop.abort();
       await Promise.all(watches);
--- a/packages/sequoiarill-plugin-platform/src/sectionHistory.ts
+++ b/packages/sequoiarill-plugin-platform/src/sectionHistory.ts
@@ -1,7 +1,7 @@
 /**
- * Accepted texts of a section, compressed. A text enters the history in the very transaction that
- * makes it the section's text, so neither can be without the other; and if the section is overwritten
- * past the commands, the last accepted text is still there.
+ * History of the accepted texts of a section, compressed. The transaction that writes a section
+ * also writes its history entry, so neither exists without the other. If the section is overwritten
+ * without the `config` commands, the last accepted text is still available.
  */
 import { gunzipSync, gzipSync } from 'node:zlib';
 
@@ -12,26 +12,26 @@
 import * as StoredSection from './storedSection';
 import type { SectionEnvelope } from './storedSection';
 
-/** Two working weeks of a section that is changed five times a day. */
+/** Covers two working weeks of a section that changes five times a day. */
 const MAX_ENTRIES = 50;
-/** More than one, so that a history that grew too long shrinks again. */
-const MAX_REMOVALS = 5;
+/** More than one, so that a history above its limit shrinks again. */
+const MAX_REMOVALS_PER_EDIT = 5;
 
-/** More than any value may hold. */
+/** Above the size limit of any value; bounds the decompression. */
 const MAX_TEXT_BYTES = 2_097_152;
 
-/** One accepted text, by the revision at which it came into force. */
+/** One accepted text and the revision at which it took effect. */
 export interface HistoryEntry extends SectionEnvelope {
   readonly revision: number;
 }
 
-const packedSchema = Zod.object({
+const storedHistorySchema = Zod.object({
   writeId: Zod.string(),
   at: Zod.string(),
   author: Zod.string(),
   /** Base64 of the gzipped text. */
   packed: Zod.string(),
-  /** Where the text came into force by other means, before it entered the history. */
+  /** Set if the text was written without the commands: the revision at which it took effect. */
   revision: Zod.number().optional(),
 });
 
@@ -42,13 +42,13 @@
 }
 
 /**
- * The entry was written with the section's text, so its own revision is that of the text. An entry
- * that was damaged by other means is left out: a router that looks for the last good text must not
- * stop over it.
+ * The entry was written in the same transaction as the section, so its revision is that of the
+ * text. Damaged entries are skipped, so that they do not keep a router from finding the last valid
+ * text.
  */
 function decodeHistory(entry: KeyValueEntry): readonly HistoryEntry[] {
   try {
-    const { packed, revision, ...rest } = packedSchema.parse(JSON.parse(entry.value));
+    const { packed, revision, ...rest } = storedHistorySchema.parse(JSON.parse(entry.value));
     const bytes = gunzipSync(Buffer.from(packed, 'base64'), { maxOutputLength: MAX_TEXT_BYTES });
     return [{ ...rest, text: bytes.toString('utf8'), revision: revision ?? entry.revision }];
   } catch {
@@ -60,7 +60,7 @@
   return `${StoredSection.HISTORY_PREFIX}${section}/`;
 }
 
-/** Oldest first; undefined when the platform does not answer. */
+/** Returns the entries oldest first, or undefined if the platform does not respond. */
 export async function readHistory(
   store: PlatformStore,
   section: string,
@@ -70,14 +70,14 @@
   return range.entries.flatMap(decodeHistory).sort((left, right) => left.revision - right.revision);
 }
 
-/** A text that got there without the commands is in no history yet. */
-function buildReplacedWrites(section: string, replaced: HistoryEntry): readonly KeyWrite[] {
+/** Adds the replaced text to the history if it was written without the commands. */
+function buildBackfillWrites(section: string, replaced: HistoryEntry): readonly KeyWrite[] {
   if (replaced.revision === 0 || replaced.writeId !== '') return [];
   const key = StoredSection.formatHistoryKey(section, replaced.revision - 1);
   return [{ key, value: encodeHistory(replaced, replaced.revision) }];
 }
 
-/** Writes that keep the accepted text and remove the oldest ones beyond the bound. */
+/** Builds the writes that add the accepted text and remove the oldest entries above the limit. */
 export async function buildHistoryWrites(
   store: PlatformStore,
   section: string,
@@ -86,13 +86,13 @@
 ): Promise<readonly KeyWrite[]> {
   const key = StoredSection.formatHistoryKey(section, replaced.revision);
   const range = await store.readChangedKeys(getPrefix(section), 0);
-  // Without the list the history grows by one more; the next edit shortens it.
+  // If the list is unavailable, the history grows by one entry, and the next edit shortens it.
   const keys = range.kind === 'range' ? range.entries.map((entry) => entry.key).sort() : [];
   const excess = Math.max(0, keys.length + 1 - MAX_ENTRIES);
-  const removed = keys.slice(0, Math.min(excess, MAX_REMOVALS));
+  const removed = keys.slice(0, Math.min(excess, MAX_REMOVALS_PER_EDIT));
   return [
     { key, value: encodeHistory(accepted) },
-    ...buildReplacedWrites(section, replaced),
+    ...buildBackfillWrites(section, replaced),
     ...removed.map((oldKey): KeyWrite => ({ key: oldKey })),
   ];
 }
--- a/packages/sequoiarill-plugin-platform/src/snapshotKeeper.ts
+++ b/packages/sequoiarill-plugin-platform/src/snapshotPublisher.ts
@@ -1,49 +1,49 @@
 /**
- * Keeps the snapshot in force and tells of new ones. Changes that come faster than building is worth
- * are merged into one.
+ * Holds the current snapshot and publishes new ones to subscribers. Changes in quick succession are
+ * merged into one snapshot.
  *
- * Pattern of load: a burst of edits, tens a second in working hours, each touching one of hundreds of
- * sections. Without merging, each edit would cost a build of maps with thousands of entries while
- * tokens wait to be relayed. After a build that took t, the next one waits 100 t, so that building
- * takes a hundredth of a core at most, of the 2.2% that all of control may take; and never longer
- * than a second, of the eight in which a change must be in force.
+ * In working hours, bursts of tens of edits per second occur, each to one of hundreds of sections.
+ * Without merging, each edit would rebuild maps with thousands of entries while tokens wait to be
+ * relayed. After a build that took t, the next one waits 100 t, so that builds use at most 1% of a
+ * core, out of the 2.2% allowed for the entire control plane. The wait is at most one second, out
+ * of the eight seconds within which a change must take effect.
  */
 import type { Clock, Configuration, LogEvent, Metrics, Unsubscribe } from '@sequoiarill/types';
 
 import * as Events from './events';
 
-/** Waiting time for each unit of building time. */
+/** Waiting time as a multiple of the build time. */
 const WAIT_RATIO = 100;
 const MAX_WAIT_MS = 1_000;
 
-export interface SnapshotKeeper {
+export interface SnapshotPublisher {
   readonly getConfiguration: () => Configuration;
   readonly subscribe: (listener: (configuration: Configuration) => void) => Unsubscribe;
-  /** Builds now, or soon when the last build was just before. */
-  readonly updateSoon: () => void;
-  /** Wall clock of the last build; undefined before the first. */
+  /** Builds a snapshot now, or after a delay if the last build was too recent. */
+  readonly updateThrottled: () => void;
+  /** Wall-clock time of the last build, or undefined before the first. */
   readonly getAppliedAt: () => string | undefined;
 }
 
-export interface SnapshotKeeperOptions {
+export interface SnapshotPublisherOptions {
   readonly clock: Clock;
   readonly logEvent: LogEvent;
   readonly metrics: Metrics;
-  readonly first: Configuration;
+  readonly initial: Configuration;
   readonly buildNext: (current: Configuration) => Configuration;
 }
 
-/** A build or a listener that throws is a broken invariant, here as well as in the direct call. */
+/** An error in a delayed build or its listeners fails the process, as it does in a direct call. */
 function failProcess(error: unknown): void {
   queueMicrotask(() => {
     throw error;
   });
 }
 
-export function createSnapshotKeeper(options: SnapshotKeeperOptions): SnapshotKeeper {
+export function createSnapshotPublisher(options: SnapshotPublisherOptions): SnapshotPublisher {
   const { clock, logEvent, metrics } = options;
   const listeners = new Set<(configuration: Configuration) => void>();
-  let configuration = options.first;
+  let configuration = options.initial;
   let appliedAt: string | undefined;
   let nextBuildMs = Number.NEGATIVE_INFINITY;
   let isWaiting = false;
@@ -74,7 +74,7 @@
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
-    updateSoon() {
+    updateThrottled() {
       if (isWaiting) return;
       if (clock.getNowMs() >= nextBuildMs) updateNow();
       else updateLater().catch(failProcess);
--- a/packages/sequoiarill-plugin-platform/src/sourceFollower.ts
+++ b/packages/sequoiarill-plugin-platform/src/sourceWatcher.ts
@@ -1,4 +1,6 @@
-/** Follows one place of the document in the platform: read all, watch from there, confirm by reads. */
+/**
+ * Watches one key range in the platform: a full read, then a watch, confirmed by periodic reads.
+ */
 import type { Clock, ConfigurationSection, LogEvent, WatchEvent } from '@sequoiarill/types';
 
 import * as DocumentRecords from './documentRecords';
@@ -6,7 +8,7 @@
 import * as Events from './events';
 import type { PlatformStore } from './keyValueStore';
 
-export interface SourceFollowerOptions {
+export interface SourceWatcherOptions {
   readonly source: RecordSource;
   readonly store: PlatformStore;
   readonly clock: Clock;
@@ -15,61 +17,67 @@
   readonly applyRecords: (records: readonly ConfigurationSection[]) => void;
 }
 
-export type FollowOutcome =
+export type ReadOutcome =
   { readonly kind: 'confirmed'; readonly revision: number } | { readonly kind: 'unavailable' };
 
-export interface SourceFollower {
-  /** Reads everything; what is missing there but known here is kept. */
-  readonly readAll: () => Promise<FollowOutcome>;
-  /** Applies changes until the signal is aborted, over as many watches as that takes. */
+export interface SourceWatcher {
+  /** Reads all records. Records that are missing there but known here are retained. */
+  readonly readAll: () => Promise<ReadOutcome>;
+  /** Applies watched changes until the signal is aborted, and reopens the watch when it ends. */
   readonly runWatch: (signal: AbortSignal) => Promise<void>;
-  /** Asks which keys changed; mends a watch that missed one. */
-  readonly checkRevision: () => Promise<FollowOutcome>;
+  /** Reads which keys changed, and reads all records if the watch has missed a change. */
+  readonly checkRevision: () => Promise<ReadOutcome>;
 }
 
-/** First wait before a watch is opened again, in milliseconds; doubles up to the bound. */
+/** Initial delay before a watch is reopened. It doubles up to `MAX_RETRY_MS`. */
 const RETRY_MS = 100;
 /**
- * A watch this late is taken for silent. Reading everything sooner would, in a burst of changes, answer
- * a platform that is a little late with many times the load.
+ * A watch that is this late is considered silent. A full read any sooner would multiply the load on
+ * a platform that is only slightly late during a burst of changes.
  */
-const GAP_MS = 1_500;
-/** Below the 8 s in which a change must be in force, with room for the reading. */
+const SILENT_WATCH_MS = 1_500;
+/** Below the 8 s within which a change must take effect, with time left for the read. */
 const MAX_RETRY_MS = 3_000;
 
-export function createSourceFollower(options: SourceFollowerOptions): SourceFollower {
+export function createSourceWatcher(options: SourceWatcherOptions): SourceWatcher {
   const { source, store, clock, logEvent } = options;
-  /** Every change up to it was seen. */
+  /** Every change up to this revision was received. */
   let seenRevision = 0;
-  /** Highest revision of a record that was seen, also of a refused one. */
-  let newestRecord = 0;
-  /** A change that a confirming read knew and the watch had not brought, and since when. */
+  /** Highest revision of a received record, including rejected ones. */
+  let newestRecordRevision = 0;
+  /**
+   * Revision of a change that a confirming read found before the watch, and the time of that read.
+   */
   let missedRevision = 0;
   let missedSinceMs = 0;
-  let isOlder = false;
+  let isRolledBack = false;
 
   function applyRecords(records: readonly ConfigurationSection[]): void {
-    newestRecord = Math.max(newestRecord, ...records.map((record) => record.revision));
+    newestRecordRevision = Math.max(
+      newestRecordRevision,
+      ...records.map((record) => record.revision),
+    );
     options.applyRecords(records);
   }
 
   /**
-   * Failure: the platform was restored from a backup. Its records carry lower revisions than ours and
-   * would take accepted changes back. The state ignores them one by one; this tells operators once.
+   * Failure: the platform was restored from a backup. Its records have lower revisions than those
+   * applied here and would revert accepted changes. The state ignores them individually; this check
+   * notifies operators once.
    */
-  function markOlder(platformRevision: number): void {
-    const isOlderNow = platformRevision < seenRevision;
-    if (isOlderNow && !isOlder) {
-      const held = { platformRevision, heldRevision: seenRevision };
-      logEvent(Events.PLATFORM_OLDER, { source: source.prefix, ...held });
+  function checkRollback(platformRevision: number): void {
+    const isBehind = platformRevision < seenRevision;
+    if (isBehind && !isRolledBack) {
+      const revisions = { platformRevision, heldRevision: seenRevision };
+      logEvent(Events.PLATFORM_OLDER, { source: source.prefix, ...revisions });
     }
-    isOlder = isOlderNow;
+    isRolledBack = isBehind;
   }
 
-  async function readAll(): Promise<FollowOutcome> {
+  async function readAll(): Promise<ReadOutcome> {
     const range = await store.readPrefix(source.prefix);
     if (range.kind === 'unavailable') return { kind: 'unavailable' };
-    markOlder(range.revision);
+    checkRollback(range.revision);
     applyRecords(range.entries.map((entry) => DocumentRecords.decodeEntry(source, entry)));
     seenRevision = Math.max(seenRevision, range.revision);
     return { kind: 'confirmed', revision: range.revision };
@@ -104,23 +112,23 @@
   }
 
   /**
-   * Failure: a watch that looks open but delivers nothing any more, as after a lost connection that
-   * no side closed. It shows as a key that confirming reads know and we do not, for longer than a
-   * working watch is late; then everything is read again, so a silent watch delays a change by seconds
-   * and never loses it.
+   * Failure: a watch appears open but delivers nothing, for example because its connection was lost
+   * and neither side closed it. This is detected when confirming reads find a change that the watch
+   * has not delivered for longer than a working watch is late. A full read then follows, so a
+   * silent watch delays a change by seconds and never loses it.
    */
-  async function checkRevision(): Promise<FollowOutcome> {
-    const range = await store.readChangedKeys(source.prefix, newestRecord);
+  async function checkRevision(): Promise<ReadOutcome> {
+    const range = await store.readChangedKeys(source.prefix, newestRecordRevision);
     if (range.kind === 'unavailable') return { kind: 'unavailable' };
-    markOlder(range.revision);
+    checkRollback(range.revision);
     const newest = Math.max(0, ...range.entries.map((entry) => entry.revision));
-    if (newest <= newestRecord) {
+    if (newest <= newestRecordRevision) {
       seenRevision = Math.max(seenRevision, range.revision);
       return { kind: 'confirmed', revision: range.revision };
     }
-    const isWaitingAlready = missedRevision > newestRecord;
-    if (isWaitingAlready && clock.getNowMs() - missedSinceMs >= GAP_MS) return readAll();
-    if (!isWaitingAlready) {
+    const isAlreadyMissing = missedRevision > newestRecordRevision;
+    if (isAlreadyMissing && clock.getNowMs() - missedSinceMs >= SILENT_WATCH_MS) return readAll();
+    if (!isAlreadyMissing) {
       missedRevision = newest;
       missedSinceMs = clock.getNowMs();
     }
--- a/packages/sequoiarill-plugin-platform/src/storedSection.ts
+++ b/packages/sequoiarill-plugin-platform/src/storedSection.ts
@@ -4,22 +4,22 @@
 export const SECTIONS_PREFIX = 'sections/';
 export const VMS_PREFIX = 'vms/';
 export const HISTORY_PREFIX = 'history/';
-/** Changed by every accepted edit; lets an editor notice that another section moved meanwhile. */
+/** Marker that every accepted edit changes, so that an editor detects edits of other sections. */
 export const LATEST_KEY = 'latest';
 
-/** Text of a section that was removed; the key stays so that its revision goes on rising. */
+/** Text of a removed section. The key remains, so that its revision keeps increasing. */
 export const TOMBSTONE_TEXT = '{}';
 
-/** By the revision that the text replaces: known before the write, and rising with each one. */
+/** Uses the replaced revision, which is known before the write and increases with each one. */
 export function formatHistoryKey(section: string, replacedRevision: number): string {
   // Padded, so that keys sort by age.
   return `${HISTORY_PREFIX}${section}/${String(replacedRevision).padStart(16, '0')}`;
 }
 
 const envelopeSchema = Zod.object({
-  /** Unguessable, one for each attempt to write; tells whether a write with a lost answer happened. */
+  /** Random id of an edit. Shows whether a write took effect although its response was lost. */
   writeId: Zod.string(),
-  /** Wall clock, ISO 8601; for people only. */
+  /** Wall-clock time, ISO 8601, for display only. */
   at: Zod.string(),
   author: Zod.string(),
   text: Zod.string(),
@@ -29,7 +29,7 @@
 
 const NO_ENVELOPE = { writeId: '', at: '', author: '' };
 
-/** A value without an envelope was put there by other means than our editor; it is its own text. */
+/** A value without an envelope was not written by the editor; the value itself is the text. */
 export function decodeEnvelope(value: string): SectionEnvelope {
   try {
     const parsed = envelopeSchema.safeParse(JSON.parse(value));
