--- a/packages/sequoiarill-plugin-platform/src/documentReader.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentReader.ts
@@ -106,8 +106,8 @@
 }
 
 /**
- * Finds all faults that the new text has or causes. Faults that other sections already had do not
- * block the edit.
+ * Finds all faults that the new text has or causes. Faults that other sections already had are left
+ * to their teams and do not block the edit.
  */
 export function checkEdit(
   document: StoredDocument,
--- a/packages/sequoiarill-plugin-platform/src/snapshotPublisher.ts
+++ b/packages/sequoiarill-plugin-platform/src/snapshotPublisher.ts
@@ -33,7 +33,9 @@
   readonly buildNext: (current: Configuration) => Configuration;
 }
 
-/** An error in a delayed build or its listeners fails the process, as it does in a direct call. */
+/**
+ * A build or listener that throws has a broken invariant: fails the process, as a direct call does.
+ */
 function failProcess(error: unknown): void {
   queueMicrotask(() => {
     throw error;
--- a/packages/sequoiarill-plugin-platform/src/storedSection.ts
+++ b/packages/sequoiarill-plugin-platform/src/storedSection.ts
@@ -17,7 +17,7 @@
 }
 
 const envelopeSchema = Zod.object({
-  /** Random id of an edit. Shows whether a write took effect although its response was lost. */
+  /** Unguessable id of an edit. Shows whether a write took effect if its response was lost. */
   writeId: Zod.string(),
   /** Wall-clock time, ISO 8601, for display only. */
   at: Zod.string(),
