--- a/packages/sequoiarill-kernel/src/__tests__/runningTime.test.ts
+++ b/packages/sequoiarill-kernel/src/__tests__/runningTime.test.ts
@@ -76,11 +76,11 @@
       });
       time.pauseFor(PAUSE_MS);
       mock.timers.tick(PAUSE_MS);
-      await new Promise<void>(RunningTimes.delayPastReads);
+      await new Promise<void>(RunningTimes.runAfterPendingReads);
       expect(due).toEqual(0);
       time.runFor(500);
       mock.timers.tick(500);
-      await new Promise<void>(RunningTimes.delayPastReads);
+      await new Promise<void>(RunningTimes.runAfterPendingReads);
       expect(due).toEqual(1);
     } finally {
       mock.timers.reset();
--- a/packages/sequoiarill-kernel/src/fakeClock.ts
+++ b/packages/sequoiarill-kernel/src/fakeClock.ts
@@ -10,13 +10,13 @@
   /** Moves time forward and lets every task run that becomes due meanwhile. */
   readonly runFor: (ms: number) => Promise<void>;
   /** Moves time without running anything, as a paused process sees it. */
-  readonly delay: (ms: number) => void;
+  readonly simulatePause: (ms: number) => void;
 }
 
 /** Long enough for the longest chain of awaits between two waits of the code under test. */
 const TURNS = 60;
 
-export async function waitForTurns(turns = TURNS): Promise<void> {
+export async function waitForMicrotasks(turns = TURNS): Promise<void> {
   for (let turn = 0; turn < turns; turn += 1) await Promise.resolve();
 }
 
@@ -55,15 +55,15 @@
       }),
     async runFor(ms) {
       const endMs = nowMs + ms;
-      await waitForTurns();
+      await waitForMicrotasks();
       for (let due = takeDue(endMs); due !== undefined; due = takeDue(endMs)) {
         nowMs = Math.max(nowMs, due.dueMs);
         due.resume();
-        await waitForTurns();
+        await waitForMicrotasks();
       }
       nowMs = endMs;
     },
-    delay(ms) {
+    simulatePause(ms) {
       nowMs += ms;
       pausedMs += ms;
     },
--- a/packages/sequoiarill-kernel/src/metrics.ts
+++ b/packages/sequoiarill-kernel/src/metrics.ts
@@ -18,7 +18,7 @@
   tags: Readonly<Record<string, string>>,
   page?: Metrics,
 ): MetricsSender {
-  const sender = sink === undefined ? createSilentMetrics() : createStatsDSender(sink, tags);
+  const sender = sink === undefined ? createNoopMetrics() : createStatsDSender(sink, tags);
   if (page === undefined) return sender;
   return {
     addCount(name, value, extra) {
@@ -57,7 +57,7 @@
   };
 }
 
-export function createSilentMetrics(): MetricsSender {
+export function createNoopMetrics(): MetricsSender {
   return {
     addCount: () => undefined,
     setGauge: () => undefined,
--- a/packages/sequoiarill-kernel/src/runningTime.ts
+++ b/packages/sequoiarill-kernel/src/runningTime.ts
@@ -40,7 +40,7 @@
  * Timers come before sockets in a turn of the event loop: in a process that was held up they are due before
  * what has arrived was read. Two more turns read it.
  */
-export function delayPastReads(callback: () => void): void {
+export function runAfterPendingReads(callback: () => void): void {
   setImmediate(() => setImmediate(callback));
 }
 
@@ -61,7 +61,7 @@
   function checkDue(): void {
     const leftMs = dueMs - getRunningMs();
     if (leftMs > 0) timer = setTimeout(checkDue, Math.max(MIN_TIMER_MS, leftMs));
-    else delayPastReads(handleDue);
+    else runAfterPendingReads(handleDue);
   }
 
   timer = setTimeout(checkDue, ms);
--- a/packages/sequoiarill-plugin-forwarding/src/answers/__tests__/fullAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/__tests__/fullAnswer.test.ts
@@ -65,7 +65,7 @@
     ];
     const fake = Fakes.createFakeDependencies(() => slow);
     fake.setTargets(createServices(2));
-    const paused = fake.clock.waitMs(10).then(() => fake.clock.delay(200));
+    const paused = fake.clock.waitMs(10).then(() => fake.clock.simulatePause(200));
     const [{ outcome }] = await Promise.all([runRequest(fake, { timeoutMs: 400 }), paused]);
     expect(outcome.kind).toEqual('answer');
     expect(fake.sentCalls.length).toEqual(1);
--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
@@ -113,7 +113,7 @@
     fake.setTargets([Fakes.createTarget('a1'), Fakes.createTarget('b1', { zone: 'b' })]);
     fake.reports.set('a1', Fakes.IDLE_REPORT);
     fake.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 3 });
-    const paused = fake.clock.waitMs(190).then(() => fake.clock.delay(pauseMs));
+    const paused = fake.clock.waitMs(190).then(() => fake.clock.simulatePause(pauseMs));
     const [result] = await Promise.all([Simulation.simulateStream(fake), paused]);
     expect(result.text).toEqual(Simulation.formatAll(12));
     expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1']);
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetCall.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetCall.ts
@@ -100,7 +100,7 @@
    */
   async function waitForEvent(timeoutMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(() => Kernel.delayPastReads(resolve), Math.max(0, timeoutMs));
+      const timer = setTimeout(() => Kernel.runAfterPendingReads(resolve), Math.max(0, timeoutMs));
       notifyReader = () => {
         clearTimeout(timer);
         resolve();
--- a/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
@@ -33,7 +33,7 @@
           nowMs += STEP_MS;
           getRunningMs();
           mock.timers.tick(STEP_MS);
-          await new Promise<void>(Kernel.delayPastReads);
+          await new Promise<void>(Kernel.runAfterPendingReads);
         }
       },
       pauseFor(ms) {
--- a/packages/sequoiarill-plugin-generations/src/stallTimer.ts
+++ b/packages/sequoiarill-plugin-generations/src/stallTimer.ts
@@ -33,7 +33,7 @@
     timer = undefined;
     if (waitingUntilMs === undefined) return;
     if (getRunningMs() < waitingUntilMs) setTimer(waitingUntilMs);
-    else Kernel.delayPastReads(handleDue);
+    else Kernel.runAfterPendingReads(handleDue);
   }
 
   /** Unless the engine's bytes were read meanwhile. */
--- a/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
@@ -163,7 +163,7 @@
     news.mergeNews({ readerFence: 9, readerBeat: 5, revision: 30 });
     news.confirmNews(7, 31);
     expect(news.getAnnouncement()).toEqual({ readerFence: 9, readerBeat: 5, revision: 31 });
-    clock.delay(3_000);
+    clock.simulatePause(3_000);
     news.confirmNews(7, 32);
     expect(news.getAnnouncement()).toEqual({ readerFence: 10, readerBeat: 1, revision: 32 });
   });
--- a/packages/sequoiarill-plugin-platform/src/__tests__/following.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/following.test.ts
@@ -97,10 +97,10 @@
     const readsBefore = platform.getCalls().prefix;
     for (let count = 0; count < 5; count += 1) {
       expect(await follower.checkRevision()).toEqual({ kind: 'confirmed', revision: 1 });
-      clock.delay(200);
+      clock.simulatePause(200);
     }
     expect(platform.getCalls().prefix).toEqual(readsBefore);
-    clock.delay(600);
+    clock.simulatePause(600);
     expect(await follower.checkRevision()).toEqual({ kind: 'confirmed', revision: 2 });
     expect(platform.getCalls().prefix).toEqual(readsBefore + 1);
   });
--- a/packages/sequoiarill-plugin-platform/src/__tests__/leaseKeeper.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/leaseKeeper.test.ts
@@ -63,7 +63,7 @@
     await first.reserveDuty();
     const firstFence = first.getFence();
     const refreshes = first.runRefreshes(new AbortController().signal);
-    clock.delay(10_000);
+    clock.simulatePause(10_000);
     expect(first.isHolder()).toEqual(false);
     expect(first.getFence()).toEqual(0);
     expect((await second.reserveDuty()).kind).toEqual('held');
--- a/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
@@ -98,7 +98,7 @@
       first: Builder.buildConfiguration(0, new Map(), new Map()),
       buildNext(current) {
         builds += 1;
-        clock.delay(8);
+        clock.simulatePause(8);
         return { ...current, revision: current.revision + 1 };
       },
     });
