--- a/packages/sequoiarill-kernel/src/__tests__/blockedOutput.test.ts
+++ b/packages/sequoiarill-kernel/src/__tests__/blockedOutput.test.ts
@@ -5,10 +5,13 @@
 
 import { expect } from 'earl';
 
-const KERNEL = path.join(__dirname, '..', 'index.js');
-/** Writes far more than a pipe and the bound hold, then tells on standard error how it went. */
-const WRITER = `
-const kernel = require(${JSON.stringify(KERNEL)});
+const KERNEL_PATH = path.join(__dirname, '..', 'index.js');
+/**
+ * Logs far more than the pipe and the buffer hold, then reports the memory growth on standard
+ * error.
+ */
+const WRITER_SCRIPT = `
+const kernel = require(${JSON.stringify(KERNEL_PATH)});
 const event = kernel.defineEvent(9000, 'info', 'test.line', 'A line.');
 const logger = kernel.createLogger('writer', 'info');
 const before = process.memoryUsage().rss;
@@ -18,14 +21,17 @@
 });
 `;
 
-describe('logs to an output that nobody reads', () => {
-  it('are dropped at a bound, and stop nothing', async () => {
-    // Whoever collects the logs stops reading in the middle of a storm of failures. A write that waits
-    // for the reader stops every request of the process; one that is kept grows without end.
-    const child = spawn(process.execPath, ['-e', WRITER], { stdio: ['ignore', 'pipe', 'pipe'] });
+describe('logger with a blocked output', () => {
+  it('drops lines beyond its buffer and does not block the process', async () => {
+    // Guards against a log collector that stops reading during a burst of failures: blocking writes
+    // would stop every request of the process, and an unbounded buffer would exhaust its memory.
+    const child = spawn(process.execPath, ['-e', WRITER_SCRIPT], {
+      stdio: ['ignore', 'pipe', 'pipe'],
+    });
     const [text] = (await once(child.stderr, 'data')) as [Buffer];
     const { grownBytes } = JSON.parse(text.toString()) as { readonly grownBytes: number };
-    // The lines are 120 MB; the bound is 1 MB, beside what the loop itself leaves to be collected.
+    // The lines amount to 120 MB and the buffer holds 1 MB; the rest of the limit allows for
+    // garbage of the loop.
     expect(grownBytes).toBeLessThan(80_000_000);
     child.kill('SIGKILL');
     await once(child, 'close');
--- a/packages/sequoiarill-kernel/src/__tests__/kernel.test.ts
+++ b/packages/sequoiarill-kernel/src/__tests__/kernel.test.ts
@@ -13,7 +13,7 @@
   plugins: new Map(),
 };
 
-function createPlugin(name: string, parts: Partial<Plugin>, instance: PluginInstance): Plugin {
+function createPlugin(name: string, overrides: Partial<Plugin>, instance: PluginInstance): Plugin {
   return {
     name,
     settingsSchema: Zod.unknown(),
@@ -21,12 +21,12 @@
     needs: [],
     events: [],
     createInstance: () => instance,
-    ...parts,
+    ...overrides,
   };
 }
 
 describe('kernel', () => {
-  it('starts providers before those who need them and stops in reverse', async () => {
+  it('starts plug-ins in dependency order and stops them in reverse order', async () => {
     const steps: string[] = [];
     const plugins = ['user', 'provider'].map((name) =>
       createPlugin(name, name === 'user' ? { needs: ['keyValue'] } : { provides: ['keyValue'] }, {
@@ -48,9 +48,9 @@
     expect(dump.plugins).toEqual({ provider: { name: 'provider' }, user: { name: 'user' } });
   });
 
-  it('does not wait for a drain past its limit', async () => {
-    // An operator stops a VM while one caller never reads its answer. The drain would last for
-    // ever, because the work in progress never ends; the limit lets the stop go on.
+  it('ends a drain at its time limit', async () => {
+    // Guards against a stop that hangs: a caller that never reads its answer keeps work in progress
+    // forever, so the drain would not end without a time limit.
     const stuck = createPlugin(
       'stuck',
       {},
--- a/packages/sequoiarill-kernel/src/__tests__/requestGuard.test.ts
+++ b/packages/sequoiarill-kernel/src/__tests__/requestGuard.test.ts
@@ -8,11 +8,11 @@
 import * as RequestGuards from '../requestGuard';
 
 const HEADERS_TIMEOUT_MS = 200;
-/** Longer than the time limit of headers and the time between two looks at it. */
-const STANDSTILL_MS = 700;
+/** Longer than the headers timeout plus the interval at which Node.js checks it. */
+const PAUSE_MS = 700;
 
-/** Nothing of this process runs meanwhile, as when its VM is paused. */
-function delayProcess(ms: number): void {
+/** Blocks the event loop, as a pause of the VM does. */
+function simulatePause(ms: number): void {
   const untilMs = performance.now() + ms;
   while (performance.now() < untilMs);
 }
@@ -23,7 +23,7 @@
   });
 }
 
-describe('the guard of requests', () => {
+describe('request guard', () => {
   let server: Http.Server;
 
   afterEach(() => Listeners.closeListener(server));
@@ -58,16 +58,17 @@
     return { socket, read: () => Buffer.concat(received).toString('utf8') };
   }
 
-  it('never runs what it refused, when the process stood still', async () => {
-    // A VM is paused with a caller's order in the buffer of its socket. When it goes on, the order was
-    // refused as one that never came, and ran all the same: the caller sent it again, and it ran twice.
+  it('never processes a request that it refused after a pause', async () => {
+    // Guards against requests that run twice. A VM is paused while a request waits in its socket
+    // buffer; on resume the request was answered 408 and processed nevertheless, so the caller's
+    // retry ran it again.
     let runs = 0;
     const address = await startServer(() => {
       runs += 1;
     });
     const { socket, read } = await openSocket(address);
     socket.write('POST /order HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\nhi');
-    delayProcess(STANDSTILL_MS);
+    simulatePause(PAUSE_MS);
     await waitMs(300);
     const isRefused = read().includes(' 408 ');
     expect(isRefused && runs > 0).toEqual(false);
@@ -76,7 +77,7 @@
     socket.destroy();
   });
 
-  it('refuses headers that do not come, and what comes after', async () => {
+  it('refuses a request whose headers time out, and everything after it', async () => {
     let runs = 0;
     const address = await startServer(() => {
       runs += 1;
--- a/packages/sequoiarill-kernel/src/__tests__/runningTime.test.ts
+++ b/packages/sequoiarill-kernel/src/__tests__/runningTime.test.ts
@@ -6,15 +6,15 @@
 
 const PAUSE_MS = 5_000;
 
-/** A clock that tells the running time, and is moved tick by tick as the system clock moves it. */
-function createPlayedTime() {
+/** A running-time clock on simulated time, updated once per tick as by the system clock. */
+function createSimulatedTime() {
   let nowMs = 0;
   const getRunningMs = RunningTimes.createRunningTime(() => nowMs);
   return {
     getRunningMs,
     runFor(ms: number) {
-      for (let left = ms; left > 0; left -= RunningTimes.RUNNING_TICK_MS) {
-        nowMs += Math.min(left, RunningTimes.RUNNING_TICK_MS);
+      for (let left = ms; left > 0; left -= RunningTimes.RUNNING_TIME_TICK_MS) {
+        nowMs += Math.min(left, RunningTimes.RUNNING_TIME_TICK_MS);
         getRunningMs();
       }
     },
@@ -24,38 +24,39 @@
   };
 }
 
-describe('the running time of a process', () => {
-  it('goes with the clock while nothing holds the process up', () => {
-    const time = createPlayedTime();
+describe('running time', () => {
+  it('follows the clock while the process is not paused', () => {
+    const time = createSimulatedTime();
     time.runFor(1_234);
     expect(time.getRunningMs()).toEqual(1_234);
   });
 
-  it('leaves a pause out, whatever its length', () => {
-    // Guards against targets that are given up for the silence of the process itself.
+  it('excludes a pause of any length', () => {
+    // Guards against targets that are considered lost because this process itself was paused.
     for (const pauseMs of [150, 300, 800, 2_500, PAUSE_MS]) {
-      const time = createPlayedTime();
+      const time = createSimulatedTime();
       time.runFor(100);
       time.pauseFor(pauseMs);
       expect(time.getRunningMs()).toBeLessThanOrEqual(200);
     }
   });
 
-  it('stands still for a moment after a pause, and then goes on', () => {
-    // Guards against a target that was paused as well and is given up as it wakes.
-    const time = createPlayedTime();
+  it('stops for a grace period after a pause and then continues', () => {
+    // Guards against a target that was paused as well and is considered lost while it resumes.
+    const time = createSimulatedTime();
     time.runFor(100);
     time.pauseFor(PAUSE_MS);
-    const wokenMs = time.getRunningMs();
+    const afterPauseMs = time.getRunningMs();
     time.runFor(250);
-    expect(time.getRunningMs()).toEqual(wokenMs);
+    expect(time.getRunningMs()).toEqual(afterPauseMs);
     time.runFor(400);
-    expect(time.getRunningMs()).toEqual(wokenMs + 400);
+    expect(time.getRunningMs()).toEqual(afterPauseMs + 400);
   });
 
-  it('goes on in a process that is held up again and again', () => {
-    // Guards against a target that ended without a word and is waited for without end under load.
-    const time = createPlayedTime();
+  it('advances in a process that is blocked repeatedly', () => {
+    // Guards against waiting forever for a target that terminated silently while this process is
+    // overloaded.
+    const time = createSimulatedTime();
     for (let stall = 0; stall < 100; stall += 1) {
       time.pauseFor(250);
       time.runFor(250);
@@ -64,12 +65,13 @@
   });
 });
 
-describe('a timer in running time', () => {
-  it('is not due when its process wakes, but after what is left', async () => {
-    // Guards against waits that end on waking, before what came during the pause was read.
+describe('running-time timer', () => {
+  it('fires after the remaining running time, not immediately after a pause', async () => {
+    // Guards against waits that end as soon as the process resumes, before data received during the
+    // pause is read.
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
-      const time = createPlayedTime();
+      const time = createSimulatedTime();
       let due = 0;
       RunningTimes.startRunningTimer(time.getRunningMs, 300, () => {
         due += 1;
--- a/packages/sequoiarill-kernel/src/__tests__/settings.test.ts
+++ b/packages/sequoiarill-kernel/src/__tests__/settings.test.ts
@@ -23,14 +23,14 @@
 }
 
 describe('settings file', () => {
-  it('gives each plug-in its own checked section', () => {
+  it('passes each plug-in its own validated section', () => {
     const text = `${PROCESS}[callers]\nlisten = 127.0.0.1:8080\n`;
     const result = SettingsFiles.parseSettings(text, 'router.ini', [plugin]);
     const section = result.kind === 'settings' ? result.settings.plugins.get('callers') : undefined;
     expect(section).toEqual({ listen: '127.0.0.1:8080' });
   });
 
-  it('lists an unknown key, an unknown section and a bad value at once', () => {
+  it('reports an unknown key, an unknown section and an invalid value together', () => {
     const lines = listFaultLines(
       `${PROCESS}[callers]\nlisten = nowhere\nport = 1\n[mistake]\na = 1\n`,
     );
--- a/packages/sequoiarill-kernel/src/apiKeys.ts
+++ b/packages/sequoiarill-kernel/src/apiKeys.ts
@@ -1,17 +1,23 @@
-/** API keys of organisations: `sqr_<id>_<secret>`, of which only a salted hash is stored. */
+/**
+ * API keys of organisations, in the form `sqr_<id>_<secret>`; only a salted hash of the secret is
+ * stored.
+ */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto';
 
 import type { Configuration, KeyOwner, OrganisationKey } from '@sequoiarill/types';
 
-/** Bounded, so that nobody has the router hash long texts. */
+/** Bounds the length of both parts, so that a client cannot make the router hash long strings. */
 const KEY_PATTERN = /^sqr_([a-z0-9]{1,64})_(\S{1,256})$/;
 const ID_BYTES = 8;
-/** 256 random bits: guessing is hopeless, so a fast hash is enough and keeps a request cheap. */
+/** 256 random bits cannot be guessed, so one fast hash per request is sufficient protection. */
 const SECRET_BYTES = 32;
 const SALT_BYTES = 16;
 
-/** Compared with when the id is unknown, so that the time taken does not tell whether it exists. */
-const DECOY: OrganisationKey = {
+/**
+ * Compared with when the id is unknown, so that the response time does not reveal whether an id
+ * exists.
+ */
+const DECOY_KEY: OrganisationKey = {
   id: '',
   salt: '00'.repeat(SALT_BYTES),
   hash: '00'.repeat(SECRET_BYTES),
@@ -28,21 +34,21 @@
 }
 
 /**
- * The owner of a presented key; undefined when it is malformed, unknown or wrong. Reads the snapshot
- * each time and keeps nothing, so that a key removed from the configuration is refused at once; one
- * SHA-256 a request costs about a microsecond.
+ * Returns the owner of a presented key, or undefined when the key is malformed, unknown or wrong.
+ * Results are not cached, so that a key removed from the configuration is refused at once; one
+ * SHA-256 per request costs about a microsecond.
  */
 export function verifyKey(configuration: Configuration, presented: string): KeyOwner | undefined {
   const match = KEY_PATTERN.exec(presented);
   const owner = configuration.keysById.get(match?.[1] ?? '');
-  const isValid = isSecretOf(owner?.key ?? DECOY, match?.[2] ?? '');
+  const isValid = isSecretOf(owner?.key ?? DECOY_KEY, match?.[2] ?? '');
   return isValid ? owner : undefined;
 }
 
 export interface NewKey {
-  /** Shown once to whoever will use it; not kept anywhere. */
+  /** The complete key, shown once to its user and stored nowhere. */
   readonly presented: string;
-  /** Goes into the organisation's `keys` in its section. */
+  /** The entry for `keys` of the organisation in its configuration section. */
   readonly record: OrganisationKey;
 }
 
--- a/packages/sequoiarill-kernel/src/clock.ts
+++ b/packages/sequoiarill-kernel/src/clock.ts
@@ -1,4 +1,4 @@
-/** The machine's clocks behind the interface that tests replace. */
+/** The system implementation of `Clock`; tests use the one in `fakeClock.ts`. */
 import { setTimeout as startTimeout } from 'node:timers/promises';
 
 import type { Clock } from '@sequoiarill/types';
@@ -11,7 +11,7 @@
 
 export function createSystemClock(): Clock {
   const getRunningMs = RunningTimes.createRunningTime(getNowMs);
-  setInterval(getRunningMs, RunningTimes.RUNNING_TICK_MS).unref();
+  setInterval(getRunningMs, RunningTimes.RUNNING_TIME_TICK_MS).unref();
   return {
     getNowMs,
     getRunningMs,
--- a/packages/sequoiarill-kernel/src/events.ts
+++ b/packages/sequoiarill-kernel/src/events.ts
@@ -1,10 +1,13 @@
-/** Numbered log events, written as JSON by pino. */
+/** Numbered log events, written as JSON lines by pino. */
 import type { EventDefinition, LogEvent, LogLevel } from '@sequoiarill/types';
 import Pino from 'pino';
 
 const definitionsByNumber = new Map<number, EventDefinition>();
 
-/** Defines an event; a number used twice would make the catalogue ambiguous. */
+/**
+ * Defines an event. Throws if another event has the same number, since the number identifies an
+ * event in the logs.
+ */
 export function defineEvent(
   number: number,
   level: LogLevel,
@@ -12,46 +15,52 @@
   message: string,
 ): EventDefinition {
   const definition: EventDefinition = { number, level, name, message };
-  const known = definitionsByNumber.get(number);
-  if (known !== undefined && known.name !== name) {
-    throw new Error(`event ${number} is both "${known.name}" and "${name}"; choose a free number`);
+  const existing = definitionsByNumber.get(number);
+  if (existing !== undefined && existing.name !== name) {
+    throw new Error(
+      `event number ${number} is used by both "${existing.name}" and "${name}"; choose another`,
+    );
   }
   definitionsByNumber.set(number, definition);
   return definition;
 }
 
-/** Every event of the packages loaded so far, by number. */
+/** Lists the events of all packages loaded so far, sorted by number. */
 export function listEvents(): readonly EventDefinition[] {
   return [...definitionsByNumber.values()].sort((left, right) => left.number - right.number);
 }
 
 export interface Logger {
   readonly logEvent: LogEvent;
-  /** Waits for what was written, before the process ends. */
+  /** Flushes buffered lines before the process exits. */
   readonly close: () => void;
 }
 
-/** Bytes of lines that wait for a slow reader; later ones are dropped. Some seconds of a storm. */
-const MAX_WAITING_BYTES = 1_048_576;
-const STANDARD_OUTPUT = 1;
+/**
+ * Lines buffered for a slow reader: a few seconds of logs during a burst of failures. Further lines
+ * are dropped.
+ */
+const MAX_BUFFERED_BYTES = 1_048_576;
+const STDOUT_FD = 1;
 
 /**
- * Failure: whoever reads the log stops reading, the pipe is full, and a write that waits for it stops
- * every request. So lines wait in memory, up to a bound, and are then dropped.
+ * Writes asynchronously with a bounded buffer and drops lines beyond it. If the process that
+ * collects the logs stops reading, the pipe fills up, and a synchronous write to it would block
+ * every request.
  */
 function createOutput() {
-  return Pino.destination({ dest: STANDARD_OUTPUT, sync: false, maxLength: MAX_WAITING_BYTES });
+  return Pino.destination({ dest: STDOUT_FD, sync: false, maxLength: MAX_BUFFERED_BYTES });
 }
 
-function writeWaiting(output: ReturnType<typeof createOutput>): void {
+function writeBufferedLines(output: ReturnType<typeof createOutput>): void {
   try {
     output.flushSync();
   } catch {
-    // The reader is gone, or nothing was written yet: no line is left that could still be read.
+    // The pipe is closed or was never opened, so there is nothing left to deliver.
   }
 }
 
-/** Logs to standard output, one JSON object a line, unless another destination is given. */
+/** Logs one JSON object per line, to standard output unless another destination is given. */
 export function createLogger(
   processName: string,
   level: LogLevel | 'silent',
@@ -66,7 +75,7 @@
       pino[definition.level](record, definition.message);
     },
     close() {
-      if (output !== undefined) writeWaiting(output);
+      if (output !== undefined) writeBufferedLines(output);
     },
   };
 }
--- a/packages/sequoiarill-kernel/src/fakeClock.ts
+++ b/packages/sequoiarill-kernel/src/fakeClock.ts
@@ -1,4 +1,7 @@
-/** Virtual time: waits end when the test moves the clock, in the order of their deadlines. */
+/**
+ * A clock with virtual time for tests: waits end in the order of their deadlines when the test
+ * advances the clock.
+ */
 import type { Clock } from '@sequoiarill/types';
 
 interface Waiter {
@@ -7,16 +10,16 @@
 }
 
 export interface FakeClock extends Clock {
-  /** Moves time forward and lets every task run that becomes due meanwhile. */
+  /** Advances the time and runs every task that becomes due. */
   readonly runFor: (ms: number) => Promise<void>;
-  /** Moves time without running anything, as a paused process sees it. */
+  /** Advances the time without running any task, as if the process had been paused. */
   readonly simulatePause: (ms: number) => void;
 }
 
-/** Long enough for the longest chain of awaits between two waits of the code under test. */
-const TURNS = 60;
+/** Covers the longest chain of awaits between two waits of the code under test. */
+const MICROTASK_TURNS = 60;
 
-export async function waitForMicrotasks(turns = TURNS): Promise<void> {
+export async function waitForMicrotasks(turns = MICROTASK_TURNS): Promise<void> {
   for (let turn = 0; turn < turns; turn += 1) await Promise.resolve();
 }
 
@@ -25,7 +28,7 @@
   let pausedMs = 0;
   let waiters: readonly Waiter[] = [];
 
-  function takeDue(limitMs: number): Waiter | undefined {
+  function takeNextDue(limitMs: number): Waiter | undefined {
     const [first] = [...waiters].sort((left, right) => left.dueMs - right.dueMs);
     if (first === undefined || first.dueMs > limitMs) return undefined;
     waiters = waiters.filter((waiter) => waiter !== first);
@@ -56,7 +59,7 @@
     async runFor(ms) {
       const endMs = nowMs + ms;
       await waitForMicrotasks();
-      for (let due = takeDue(endMs); due !== undefined; due = takeDue(endMs)) {
+      for (let due = takeNextDue(endMs); due !== undefined; due = takeNextDue(endMs)) {
         nowMs = Math.max(nowMs, due.dueMs);
         due.resume();
         await waitForMicrotasks();
--- a/packages/sequoiarill-kernel/src/fakeWire.ts
+++ b/packages/sequoiarill-kernel/src/fakeWire.ts
@@ -1,4 +1,4 @@
-/** Names and formats of an environment that only tests speak, in place of an adapter's. */
+/** A `ForwardingWire` for tests: header names and formats that belong to no real platform. */
 import type { ForwardingWire, HeaderNames } from '@sequoiarill/types';
 
 const HEADERS: HeaderNames = {
@@ -19,8 +19,10 @@
   targetId: 'target-id',
 };
 
-/** Decodes nothing but what the test gives a function for. */
-export function createFakeWire(change: Partial<ForwardingWire> = {}): ForwardingWire {
+/**
+ * Returns a wire format whose decoders reject everything, except those that `overrides` replaces.
+ */
+export function createFakeWire(overrides: Partial<ForwardingWire> = {}): ForwardingWire {
   return {
     configurationKey: 'configuration',
     targetPrefix: 'targets/',
@@ -43,6 +45,6 @@
     encodeCopyCommand: () => '',
     decodeCopyHandle: () => undefined,
     formatCopyPath: () => '',
-    ...change,
+    ...overrides,
   };
 }
--- a/packages/sequoiarill-kernel/src/index.ts
+++ b/packages/sequoiarill-kernel/src/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in kernel of sequoiarill on a local moleculer broker. */
+/** The plug-in kernel of sequoiarill, built on a local Moleculer broker. */
 export * from './apiKeys';
 export * from './clock';
 export * from './events';
--- a/packages/sequoiarill-kernel/src/journal.ts
+++ b/packages/sequoiarill-kernel/src/journal.ts
@@ -1,10 +1,10 @@
-/** The decisions of recent requests, in memory and bounded. */
+/** Keeps the decisions made for recent requests in memory, up to a fixed number of requests. */
 import type { Clock, DecisionEntry, Journal } from '@sequoiarill/types';
 
-/** A minute of requests at the target size of a node (67 a second), at about 1 KB each. */
+/** One minute of requests at the planned load of a node (67 per second), at about 1 KB each. */
 const MAX_REQUESTS = 4_096;
-/** A request with more decisions than this keeps its first ones, which hold the cause. */
-const MAX_ENTRIES = 64;
+/** Further entries are dropped; the first ones are kept because they contain the cause. */
+const MAX_ENTRIES_PER_REQUEST = 64;
 
 interface RequestRecord {
   readonly startedMs: number;
@@ -22,8 +22,8 @@
   const records = new Map<string, RequestRecord>();
 
   function getRecord(requestId: string): RequestRecord {
-    const known = records.get(requestId);
-    if (known !== undefined) return known;
+    const existing = records.get(requestId);
+    if (existing !== undefined) return existing;
     const record: RequestRecord = { startedMs: clock.getNowMs(), entries: [] };
     records.set(requestId, record);
     if (records.size > maxRequests) {
@@ -36,7 +36,7 @@
   return {
     recordDecision(requestId, kind, reason, details = {}) {
       const record = getRecord(requestId);
-      if (record.entries.length >= MAX_ENTRIES) return;
+      if (record.entries.length >= MAX_ENTRIES_PER_REQUEST) return;
       const elapsedMs = Math.round(clock.getNowMs() - record.startedMs);
       record.entries.push({ kind, at: clock.getWallTime(), elapsedMs, reason, details });
     },
--- a/packages/sequoiarill-kernel/src/kernel.ts
+++ b/packages/sequoiarill-kernel/src/kernel.ts
@@ -1,4 +1,7 @@
-/** Life cycle of one process: start in order of need, drain and stop in reverse. */
+/**
+ * Life cycle of one process: starts plug-ins in dependency order, drains them, and stops them in
+ * reverse order.
+ */
 import { isDeepStrictEqual } from 'node:util';
 
 import type {
@@ -26,13 +29,16 @@
 
 const BYTES_PER_MB = 1_048_576;
 const MS_PER_SECOND = 1_000;
-/** A local service is up within milliseconds; the broker's own poll of a second would add up. */
+/**
+ * Local services start within milliseconds; the broker's default polling interval of 1 s per
+ * service would add up.
+ */
 const START_TIMEOUT_MS = 10_000;
 const START_POLL_MS = 10;
 
 export interface KernelOptions {
   readonly settings: Settings.Settings;
-  /** Those registered by import, unless a test gives its own. */
+  /** Defaults to the plug-ins that registered themselves on import. */
   readonly plugins?: readonly Plugin[];
   readonly logEvent?: LogEvent;
   readonly nextRandom?: () => number;
@@ -42,10 +48,10 @@
 
 export interface Kernel {
   readonly start: () => Promise<void>;
-  /** Takes no new work and waits for the work in progress, for at most so long. */
+  /** Stops accepting new work and waits up to `limitMs` for the work in progress. */
   readonly drain: (limitMs: number) => Promise<void>;
   readonly stop: () => Promise<void>;
-  /** Tells what a new reading of the settings file gave; nothing in use changes. */
+  /** Logs the result of re-reading the settings file; the settings in use do not change. */
   readonly recordSettings: (result: SettingsResult) => void;
   readonly dumpProcess: () => Promise<ProcessDump>;
   readonly getPhase: () => LifecyclePhase;
@@ -64,15 +70,16 @@
   const logEvent = options.logEvent ?? logger.logEvent;
   const { metricsSink, metricsListen } = settings.telemetry;
   const tags = { process: settings.process.name, zone: settings.process.zone };
-  const page = metricsListen === undefined ? undefined : MetricsPages.createMetricsPage(tags);
-  const metrics = MetricsSenders.createMetrics(metricsSink, tags, page);
+  const metricsPage =
+    metricsListen === undefined ? undefined : MetricsPages.createMetricsPage(tags);
+  const metrics = MetricsSenders.createMetrics(metricsSink, tags, metricsPage);
   const journal = Journals.createJournal(clock);
   const startedMs = clock.getNowMs();
-  const running: RunningPlugin[] = [];
+  const runningPlugins: RunningPlugin[] = [];
   const capabilities = new Map<CapabilityName, unknown>();
   let phase: LifecyclePhase = 'starting';
 
-  // Moleculer carries local services and their life cycle only; nothing of it leaves the process.
+  // The broker is used for local services and their life cycle only; it has no transporter.
   const broker = new ServiceBroker({
     nodeID: settings.process.name,
     logger: false,
@@ -81,12 +88,12 @@
   });
 
   function getCapability<Name extends CapabilityName>(name: Name): Capabilities[Name] {
-    if (!capabilities.has(name)) throw new Error(`capability "${name}" is not provided`);
+    if (!capabilities.has(name)) throw new Error(`capability "${name}" has no provider`);
     return capabilities.get(name) as Capabilities[Name];
   }
 
   async function dumpProcess(): Promise<ProcessDump> {
-    const dumps = running.map(({ plugin, instance }): [string, StateDump] => [
+    const dumps = runningPlugins.map(({ plugin, instance }): [string, StateDump] => [
       plugin.name,
       instance.dumpState(),
     ]);
@@ -113,7 +120,7 @@
       requestStop: () => options.onStopRequested?.(),
       getCapability(name) {
         if (!plugin.needs.includes(name)) {
-          throw new Error(`plug-in "${plugin.name}" does not list "${name}" in its needs`);
+          throw new Error(`plug-in "${plugin.name}" must list capability "${name}" in its needs`);
         }
         return getCapability(name);
       },
@@ -125,7 +132,7 @@
     const instance = plugin.createInstance(createContext(plugin), section);
     const provided = Object.entries(instance.capabilities ?? {}) as [CapabilityName, unknown][];
     provided.forEach(([name, capability]) => capabilities.set(name, capability));
-    running.push({ plugin, instance });
+    runningPlugins.push({ plugin, instance });
     await instance.start?.();
     for (const schema of instance.services ?? []) {
       const service = broker.createService(schema);
@@ -146,7 +153,7 @@
   return {
     async start() {
       await broker.start();
-      if (metricsListen !== undefined) await page?.open(metricsListen);
+      if (metricsListen !== undefined) await metricsPage?.open(metricsListen);
       for (const plugin of Registry.sortPlugins(options.plugins ?? Registry.listPlugins())) {
         await startPlugin(plugin);
       }
@@ -156,15 +163,15 @@
     async drain(limitMs) {
       phase = 'draining';
       logEvent(KernelEvents.PROCESS_DRAINING, { limitMs });
-      const limit = new AbortController();
-      const drained = Promise.all(running.map(({ instance }) => instance.drain?.()));
-      await Promise.race([drained, clock.waitMs(limitMs, limit.signal)]);
-      limit.abort();
+      const timeout = new AbortController();
+      const drained = Promise.all(runningPlugins.map(({ instance }) => instance.drain?.()));
+      await Promise.race([drained, clock.waitMs(limitMs, timeout.signal)]);
+      timeout.abort();
     },
     async stop() {
-      for (const { instance } of [...running].reverse()) await instance.stop?.();
+      for (const { instance } of [...runningPlugins].reverse()) await instance.stop?.();
       await broker.stop();
-      await page?.close();
+      await metricsPage?.close();
       phase = 'stopped';
       logEvent(KernelEvents.PROCESS_STOPPED, {});
       metrics.close();
--- a/packages/sequoiarill-kernel/src/listeners.ts
+++ b/packages/sequoiarill-kernel/src/listeners.ts
@@ -1,8 +1,8 @@
-/** Binds HTTP servers to addresses from the settings. */
+/** Binds HTTP servers to the addresses given in the settings. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** The address to listen on is in use or not of this machine. */
+/** The server cannot listen on the configured address, for instance because the port is in use. */
 export class AddressError extends Error {
   override readonly name = 'AddressError';
 
@@ -17,7 +17,7 @@
   }
 }
 
-/** Rejects with an `AddressError` if the address cannot be taken. */
+/** Starts listening; rejects with an `AddressError` if the address cannot be bound. */
 export async function openListener(
   server: Server,
   address: string,
@@ -37,15 +37,15 @@
   });
 }
 
-/** `IP:port` in use; empty while the server does not listen. */
+/** Returns the bound `IP:port`, or an empty string while the server is not listening. */
 export function getBoundAddress(server: Server): string {
-  const bound = server.address() as AddressInfo | null;
-  if (bound === null) return '';
-  const host = bound.family === 'IPv6' ? `[${bound.address}]` : bound.address;
-  return `${host}:${bound.port}`;
+  const boundAddress = server.address() as AddressInfo | null;
+  if (boundAddress === null) return '';
+  const host = boundAddress.family === 'IPv6' ? `[${boundAddress.address}]` : boundAddress.address;
+  return `${host}:${boundAddress.port}`;
 }
 
-/** Closes the server with all its connections; does nothing when it does not listen. */
+/** Closes the server and all its connections; does nothing if the server is not listening. */
 export async function closeListener(server: Server): Promise<void> {
   if (!server.listening) return;
   const closed = new Promise((resolve) => {
--- a/packages/sequoiarill-kernel/src/metrics.ts
+++ b/packages/sequoiarill-kernel/src/metrics.ts
@@ -1,18 +1,24 @@
-/** Metrics over StatsD and as text; see docs/operators/METRICS.md for names, units and meaning. */
+/**
+ * Sends metrics to StatsD and to the metrics page; docs/operators/METRICS.md lists names, units and
+ * meanings.
+ */
 import type { Metrics } from '@sequoiarill/types';
 import { StatsD } from 'hot-shots';
 
 const PREFIX = 'sequoiarill.';
-/** Datagrams leave at most this late; keeps packets few at thousands of counts a second. */
+/**
+ * Metrics are batched for at most this time, which keeps the number of packets low at thousands of
+ * updates per second.
+ */
 const FLUSH_INTERVAL_MS = 1_000;
-/** Fits an Ethernet frame, so that no datagram is fragmented. */
+/** Fits into an Ethernet frame, so that datagrams are not fragmented. */
 const DATAGRAM_BYTES = 1_432;
 
 export interface MetricsSender extends Metrics {
   readonly close: () => void;
 }
 
-/** Sends to the sink where there is one, and keeps what a metrics page shows where one is given. */
+/** Sends metrics to the StatsD sink and updates the metrics page, each only if it is configured. */
 export function createMetrics(
   sink: string | undefined,
   tags: Readonly<Record<string, string>>,
@@ -21,17 +27,17 @@
   const sender = sink === undefined ? createNoopMetrics() : createStatsDSender(sink, tags);
   if (page === undefined) return sender;
   return {
-    addCount(name, value, extra) {
-      sender.addCount(name, value, extra);
-      page.addCount(name, value, extra);
+    addCount(name, value, extraTags) {
+      sender.addCount(name, value, extraTags);
+      page.addCount(name, value, extraTags);
     },
-    setGauge(name, value, extra) {
-      sender.setGauge(name, value, extra);
-      page.setGauge(name, value, extra);
+    setGauge(name, value, extraTags) {
+      sender.setGauge(name, value, extraTags);
+      page.setGauge(name, value, extraTags);
     },
-    recordTiming(name, valueMs, extra) {
-      sender.recordTiming(name, valueMs, extra);
-      page.recordTiming(name, valueMs, extra);
+    recordTiming(name, valueMs, extraTags) {
+      sender.recordTiming(name, valueMs, extraTags);
+      page.recordTiming(name, valueMs, extraTags);
     },
     close: sender.close,
   };
@@ -46,13 +52,13 @@
     globalTags: { ...tags },
     maxBufferSize: DATAGRAM_BYTES,
     bufferFlushInterval: FLUSH_INTERVAL_MS,
-    // A sink that is away must not stop the router; its datagrams are lost.
+    // An unreachable sink must not stop the router; the datagrams are lost.
     errorHandler: () => undefined,
   });
   return {
-    addCount: (name, value = 1, extra = {}) => client.increment(name, value, { ...extra }),
-    setGauge: (name, value, extra = {}) => client.gauge(name, value, { ...extra }),
-    recordTiming: (name, valueMs, extra = {}) => client.timing(name, valueMs, { ...extra }),
+    addCount: (name, value = 1, extraTags = {}) => client.increment(name, value, { ...extraTags }),
+    setGauge: (name, value, extraTags = {}) => client.gauge(name, value, { ...extraTags }),
+    recordTiming: (name, valueMs, extraTags = {}) => client.timing(name, valueMs, { ...extraTags }),
     close: () => client.close(),
   };
 }
--- a/packages/sequoiarill-kernel/src/metricsPage.ts
+++ b/packages/sequoiarill-kernel/src/metricsPage.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and latency histograms as a page of text that a collector reads. */
+/** Serves counters, gauges and latency histograms in the Prometheus text format. */
 import * as Http from 'node:http';
 import type { ServerResponse } from 'node:http';
 
@@ -13,14 +13,14 @@
   readonly close: () => Promise<void>;
 }
 
-/** Upper bounds of latency classes, milliseconds: from a hop within a zone to a long generation. */
+/** Upper bounds of the histogram buckets: from a network hop within a zone to a long generation. */
 const LATENCY_BUCKETS_MS = [
   2, 5, 10, 25, 50, 100, 200, 400, 800, 1_500, 3_000, 6_000, 12_000, 25_000,
 ];
 const PREFIX = 'sequoiarill_';
-const SERVER_ERROR = 500;
+const HTTP_SERVER_ERROR = 500;
 
-/** `forwarding.firstEvent` becomes `sequoiarill_forwarding_first_event`. */
+/** Converts `forwarding.firstEvent` to `sequoiarill_forwarding_first_event`. */
 function formatName(name: string): string {
   const words = name.replace(/([a-z0-9])([A-Z])/g, '$1_$2').replace(/[^A-Za-z0-9]+/g, '_');
   return `${PREFIX}${words.toLowerCase()}`;
@@ -33,18 +33,27 @@
   const gauges = new Map<string, Prometheus.Gauge>();
   const histograms = new Map<string, Prometheus.Histogram>();
 
-  /** The labels of a metric are those of its first use. */
-  function buildOptions(name: string, suffix: string, extra: MetricTags) {
-    const full = `${formatName(name)}${suffix}`;
-    return { name: full, help: name, labelNames: Object.keys(extra), registers: [registry] };
+  /** Prometheus metrics have fixed labels, so the tags of the first use determine them. */
+  function buildOptions(name: string, suffix: string, extraTags: MetricTags) {
+    const fullName = `${formatName(name)}${suffix}`;
+    return {
+      name: fullName,
+      help: name,
+      labelNames: Object.keys(extraTags),
+      registers: [registry],
+    };
   }
 
-  function getMetric<Value>(known: Map<string, Value>, name: string, create: () => Value): Value {
-    const found = known.get(name);
-    if (found !== undefined) return found;
-    const created = create();
-    known.set(name, created);
-    return created;
+  function getMetric<Value>(
+    metricsByName: Map<string, Value>,
+    name: string,
+    create: () => Value,
+  ): Value {
+    const existing = metricsByName.get(name);
+    if (existing !== undefined) return existing;
+    const metric = create();
+    metricsByName.set(name, metric);
+    return metric;
   }
 
   async function sendPage(response: ServerResponse): Promise<void> {
@@ -56,23 +65,23 @@
   const server = Http.createServer((request, response) => {
     request.resume();
     sendPage(response).catch(() => {
-      response.writeHead(SERVER_ERROR).end();
+      response.writeHead(HTTP_SERVER_ERROR).end();
     });
   });
 
   return {
-    addCount(name, value = 1, extra = {}) {
-      const options = buildOptions(name, '_total', extra);
-      getMetric(counters, name, () => new Prometheus.Counter(options)).inc({ ...extra }, value);
+    addCount(name, value = 1, extraTags = {}) {
+      const options = buildOptions(name, '_total', extraTags);
+      getMetric(counters, name, () => new Prometheus.Counter(options)).inc({ ...extraTags }, value);
     },
-    setGauge(name, value, extra = {}) {
-      const options = buildOptions(name, '', extra);
-      getMetric(gauges, name, () => new Prometheus.Gauge(options)).set({ ...extra }, value);
+    setGauge(name, value, extraTags = {}) {
+      const options = buildOptions(name, '', extraTags);
+      getMetric(gauges, name, () => new Prometheus.Gauge(options)).set({ ...extraTags }, value);
     },
-    recordTiming(name, valueMs, extra = {}) {
-      const options = { ...buildOptions(name, '_ms', extra), buckets: LATENCY_BUCKETS_MS };
+    recordTiming(name, valueMs, extraTags = {}) {
+      const options = { ...buildOptions(name, '_ms', extraTags), buckets: LATENCY_BUCKETS_MS };
       const histogram = getMetric(histograms, name, () => new Prometheus.Histogram(options));
-      histogram.observe({ ...extra }, valueMs);
+      histogram.observe({ ...extraTags }, valueMs);
     },
     formatPage: () => registry.metrics(),
     open: (address) => Listeners.openListener(server, address, '[telemetry] metricsListen'),
--- a/packages/sequoiarill-kernel/src/registry.ts
+++ b/packages/sequoiarill-kernel/src/registry.ts
@@ -1,16 +1,16 @@
-/** Where plug-in packages put themselves when they are imported. */
+/** The plug-in registry; plug-in packages register themselves when they are imported. */
 import type { Plugin } from '@sequoiarill/types';
 
 const pluginsByName = new Map<string, Plugin>();
 
 /**
- * Adds a plug-in for every kernel of this process. A second plug-in of the same name would make
- * the settings section ambiguous, so it stops the process.
+ * Registers a plug-in for all kernels of this process. Throws if another plug-in has the same name,
+ * since the name identifies its settings section.
  */
 export function registerPlugin<Settings>(plugin: Plugin<Settings>): void {
-  const known = pluginsByName.get(plugin.name);
-  if (known !== undefined && known !== plugin) {
-    throw new Error(`two plug-ins are named "${plugin.name}"; rename one of them`);
+  const existing = pluginsByName.get(plugin.name);
+  if (existing !== undefined && existing !== plugin) {
+    throw new Error(`plug-in name "${plugin.name}" is used twice; rename one of the plug-ins`);
   }
   pluginsByName.set(plugin.name, plugin as Plugin);
 }
@@ -20,22 +20,23 @@
 }
 
 /**
- * Orders plug-ins so that each comes after the providers of what it needs. A cycle or a need that
- * nobody meets is an error of the program, not of its settings.
+ * Sorts plug-ins topologically, so that each follows the providers of the capabilities it needs.
+ * Throws on a circular or missing capability, which is a programming error and cannot be caused by
+ * the settings.
  */
 export function sortPlugins(plugins: readonly Plugin[]): readonly Plugin[] {
   const sorted: Plugin[] = [];
   const provided = new Set<string>();
-  let waiting = [...plugins];
-  while (waiting.length > 0) {
-    const ready = waiting.filter((plugin) => plugin.needs.every((need) => provided.has(need)));
-    if (ready.length === 0) {
-      const names = waiting.map((plugin) => `${plugin.name} (needs ${plugin.needs.join(', ')})`);
-      throw new Error(`capabilities missing or circular: ${names.join('; ')}`);
+  let unsorted = [...plugins];
+  while (unsorted.length > 0) {
+    const startable = unsorted.filter((plugin) => plugin.needs.every((need) => provided.has(need)));
+    if (startable.length === 0) {
+      const names = unsorted.map((plugin) => `${plugin.name} (needs ${plugin.needs.join(', ')})`);
+      throw new Error(`missing or circular plug-in capabilities: ${names.join('; ')}`);
     }
-    ready.forEach((plugin) => plugin.provides.forEach((name) => provided.add(name)));
-    sorted.push(...ready);
-    waiting = waiting.filter((plugin) => !ready.includes(plugin));
+    startable.forEach((plugin) => plugin.provides.forEach((name) => provided.add(name)));
+    sorted.push(...startable);
+    unsorted = unsorted.filter((plugin) => !startable.includes(plugin));
   }
   return sorted;
 }
--- a/packages/sequoiarill-kernel/src/requestGuard.ts
+++ b/packages/sequoiarill-kernel/src/requestGuard.ts
@@ -1,45 +1,50 @@
-/** Refuses requests that Node.js finds late or malformed, and makes sure that none of them runs. */
+/**
+ * Refuses requests that Node.js reports as timed out or malformed, and ensures that none of them is
+ * processed.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
 export interface RequestGuard {
-  /** False: its connection was refused before, and the request must not be run. */
+  /** Returns false if the connection was refused before; the request must not be processed then. */
   readonly admitRequest: (request: IncomingMessage, response: ServerResponse) => boolean;
-  /** For the server's event `clientError`. */
+  /** Listener for the `clientError` event of the server. */
   readonly handleClientError: (error: NodeJS.ErrnoException, socket: Socket) => void;
 }
 
 const TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
 
-/** `formatRefusal` gives the whole answer as it goes over the wire, by the code of the error. */
+/** `formatRefusal` returns the complete raw HTTP response for an error code of Node.js. */
 export function createRequestGuard(formatRefusal: (code: string) => string): RequestGuard {
-  const refused = new WeakSet<Socket>();
-  /** Connections whose newest request has no whole response yet. */
-  const open = new WeakSet<Socket>();
-  /** The newest request of each connection. */
-  const requests = new WeakMap<Socket, IncomingMessage>();
+  const refusedSockets = new WeakSet<Socket>();
+  /** Connections whose latest request has no complete response yet. */
+  const busySockets = new WeakSet<Socket>();
+  /** The latest request of each connection. */
+  const latestRequests = new WeakMap<Socket, IncomingMessage>();
 
   function refuse(socket: Socket, code: string): void {
-    refused.add(socket);
+    refusedSockets.add(socket);
     if (socket.writable) socket.write(formatRefusal(code));
-    // Not after the write has ended: what arrives until then would be read.
+    // Destroys the socket without waiting for the write to finish; input that arrives until then
+    // would be read.
     socket.destroy();
   }
 
   /**
-   * Failure: the VM is paused for longer than the time limit of headers. When it goes on, timers are
-   * due before sockets are read, so a connection that was opened just before counts as one that sent
-   * nothing. Its caller is told 408, which promises that nothing ran, and the request that lay in the
-   * buffer is read next and runs. So what has arrived is read first; a request that is whole by then is
-   * served, and nothing else that comes over a refused connection is.
+   * Reads pending input before refusing the connection. If the VM is paused for longer than the
+   * headers timeout, timers fire before sockets are read when it resumes. A connection that was
+   * opened just before the pause then times out although its request waits in the socket buffer:
+   * the caller would receive 408, which promises that nothing ran, and the request would be read
+   * and processed afterwards. A request that is complete after the pending reads is served; any
+   * later request on a refused connection is not.
    */
   function handleTimeout(socket: Socket): void {
-    const before = requests.get(socket);
+    const previous = latestRequests.get(socket);
     setImmediate(() => {
       setImmediate(() => {
-        const newest = requests.get(socket);
-        const isServed = newest !== before || open.has(socket);
-        if (!isServed || newest?.complete !== true) refuse(socket, TIMEOUT_CODE);
+        const latest = latestRequests.get(socket);
+        const hasRequest = latest !== previous || busySockets.has(socket);
+        if (!hasRequest || latest?.complete !== true) refuse(socket, TIMEOUT_CODE);
       });
     });
   }
@@ -47,13 +52,13 @@
   return {
     admitRequest(request, response) {
       const { socket } = request;
-      if (refused.has(socket)) {
+      if (refusedSockets.has(socket)) {
         socket.destroy();
         return false;
       }
-      requests.set(socket, request);
-      open.add(socket);
-      response.once('close', () => open.delete(socket));
+      latestRequests.set(socket, request);
+      busySockets.add(socket);
+      response.once('close', () => busySockets.delete(socket));
       return true;
     },
     handleClientError(error, socket) {
@@ -61,8 +66,8 @@
       if (!socket.writable || code === 'ECONNRESET') socket.destroy();
       else if (code === TIMEOUT_CODE) handleTimeout(socket);
       else {
-        // The parser has given up, so nothing that follows is read as a request.
-        refused.add(socket);
+        // The parser stops after an error, so no further request is read from this connection.
+        refusedSockets.add(socket);
         socket.end(formatRefusal(code));
       }
     },
--- a/packages/sequoiarill-kernel/src/runningTime.ts
+++ b/packages/sequoiarill-kernel/src/runningTime.ts
@@ -1,50 +1,59 @@
 /**
- * Time in which this process could hear others.
+ * Measures running time: the time during which this process was able to receive messages.
  *
- * A process that is paused, or starved by its own load, hears nobody meanwhile. Measured by the clock alone,
- * each process that it waits for looks silent for as long, and all of them are given up when it goes on.
+ * A process that is paused, or whose event loop is blocked under load, receives nothing in the
+ * meantime. With timeouts measured by the clock alone, all peers that it waits for would appear
+ * silent and time out when it resumes.
  */
 
-/** How often the time is looked at while nobody asks, milliseconds. */
-export const RUNNING_TICK_MS = 50;
-/** A longer gap is a pause of this process, milliseconds; only so much of it counts. */
-const MAX_STEP_MS = 2 * RUNNING_TICK_MS;
+/** Interval at which the running time is updated in the background. */
+export const RUNNING_TIME_TICK_MS = 50;
 /**
- * After a pause time stands still for as long as the pause was, but no longer than this, milliseconds:
- * answers that wait in sockets have to be read, and others may have been paused as well.
+ * A longer gap between two updates is a pause of this process, of which only this much is counted.
+ */
+const MAX_COUNTED_GAP_MS = 2 * RUNNING_TIME_TICK_MS;
+/**
+ * After a pause, running time stops for as long as the pause lasted, up to this limit: responses in
+ * the socket buffers must be read first, and other processes may have been paused as well.
  */
 const MAX_GRACE_MS = 250;
 
-/** Time can stand still after a pause; a timer is not set anew for less than this, milliseconds. */
+/**
+ * Minimum delay of a rearmed timer; prevents rapid rearming while running time stops after a pause.
+ */
 const MIN_TIMER_MS = 10;
 
-/** Returns what reads the running time, milliseconds; it must be called once a tick or more often. */
+/**
+ * Returns a function that reads the running time; it must be called at least once per
+ * `RUNNING_TIME_TICK_MS`.
+ */
 export function createRunningTime(getNowMs: () => number): () => number {
-  let seenMs = getNowMs();
-  let graceUntilMs = seenMs;
+  let lastReadMs = getNowMs();
+  let graceUntilMs = lastReadMs;
   let runningMs = 0;
 
   return function getRunningMs() {
     const nowMs = getNowMs();
-    const gapMs = nowMs - seenMs;
-    if (gapMs > MAX_STEP_MS) {
-      runningMs += MAX_STEP_MS;
+    const gapMs = nowMs - lastReadMs;
+    if (gapMs > MAX_COUNTED_GAP_MS) {
+      runningMs += MAX_COUNTED_GAP_MS;
       graceUntilMs = nowMs + Math.min(gapMs, MAX_GRACE_MS);
-    } else runningMs += Math.max(0, nowMs - Math.max(seenMs, graceUntilMs));
-    seenMs = nowMs;
+    } else runningMs += Math.max(0, nowMs - Math.max(lastReadMs, graceUntilMs));
+    lastReadMs = nowMs;
     return runningMs;
   };
 }
 
 /**
- * Timers come before sockets in a turn of the event loop: in a process that was held up they are due before
- * what has arrived was read. Two more turns read it.
+ * Calls `callback` after pending socket reads. The event loop runs timers before socket reads, so
+ * after a pause or a blocked event loop timers fire before received data is read; two more
+ * iterations read it.
  */
 export function runAfterPendingReads(callback: () => void): void {
   setImmediate(() => setImmediate(callback));
 }
 
-/** Calls `onDue` after so many milliseconds of running time; returns what stops it. */
+/** Calls `onDue` after `ms` of running time; returns a function that stops the timer. */
 export function startRunningTimer(
   getRunningMs: () => number,
   ms: number,
--- a/packages/sequoiarill-kernel/src/settings.ts
+++ b/packages/sequoiarill-kernel/src/settings.ts
@@ -1,4 +1,7 @@
-/** Settings of one process: an INI file with one section for the process and one a plug-in. */
+/**
+ * Settings of one process: an INI file with sections for the process, for telemetry and for each
+ * plug-in.
+ */
 import { isIP } from 'node:net';
 
 import type { Plugin, ProcessSettings } from '@sequoiarill/types';
@@ -17,9 +20,9 @@
 /** Section `[telemetry]`. */
 export const telemetrySchema = Zod.strictObject({
   logLevel: Zod.enum(['debug', 'info', 'warn', 'error', 'fatal', 'silent']).default('info'),
-  /** `host:port` of a StatsD sink; no metrics are sent without it. */
+  /** `host:port` of a StatsD sink; if absent, no metrics are sent. */
   metricsSink: Zod.string().optional(),
-  /** `IP:port` where metrics are served as text; not served without it. */
+  /** `IP:port` of the metrics page; if absent, the page is not served. */
   metricsListen: Zod.string().refine(isAddress, ADDRESS_HINT).optional(),
 });
 
@@ -31,7 +34,7 @@
   readonly plugins: ReadonlyMap<string, unknown>;
 }
 
-/** One thing wrong with a settings file; all are reported at once. */
+/** One error in a settings file; all errors of a file are reported together. */
 export interface SettingsFault {
   readonly file: string;
   readonly section: string;
@@ -43,20 +46,23 @@
   | { readonly kind: 'settings'; readonly settings: Settings }
   | { readonly kind: 'faults'; readonly faults: readonly SettingsFault[] };
 
-const PORT_MAX = 65_535;
+const MAX_PORT = 65_535;
 
-/** A `host:port` by IP number; names are refused, since routers reach each other by number. */
+/**
+ * Whether the value is an `IP:port`; host names are invalid, since routers address each other by
+ * IP.
+ */
 export function isAddress(value: string): boolean {
   const separator = value.lastIndexOf(':');
   const host = value.slice(0, separator).replace(/^\[(.*)\]$/, '$1');
   const port = Number(value.slice(separator + 1));
-  return isIP(host) !== 0 && Number.isInteger(port) && port >= 0 && port <= PORT_MAX;
+  return isIP(host) !== 0 && Number.isInteger(port) && port >= 0 && port <= MAX_PORT;
 }
 
-/** Schema of an address setting, for plug-ins. */
+/** Schema of an `IP:port` setting of a plug-in. */
 export const addressSchema = Zod.string().refine(isAddress, ADDRESS_HINT);
 
-/** Schema of a comma-separated list setting, for plug-ins. */
+/** Schema of a comma-separated list setting of a plug-in. */
 export const listSchema = Zod.string().transform((text) =>
   text
     .split(',')
@@ -64,19 +70,24 @@
     .filter((part) => part !== ''),
 );
 
-/** Schema of a yes-or-no setting; INI gives real booleans for `true` and `false`. */
+/**
+ * Schema of a boolean setting; accepts strings as well as the booleans that the INI parser returns.
+ */
 export const booleanSchema = Zod.union([
   Zod.boolean(),
   Zod.enum(['true', 'false']).transform((text) => text === 'true'),
 ]);
 
-/** Checks a whole file and lists every fault in it, so that an operator mends it in one go. */
+/**
+ * Validates a complete settings file and lists all its faults, so that an operator can fix them
+ * together.
+ */
 export function parseSettings(
   text: string,
   file: string,
   plugins: readonly Plugin[],
 ): SettingsResult {
-  const raw = Ini.parse(text) as Readonly<Record<string, unknown>>;
+  const rawSections = Ini.parse(text) as Readonly<Record<string, unknown>>;
   const faults: SettingsFault[] = [];
   const schemas = new Map<string, Zod.ZodType>([
     ['process', processSchema],
@@ -85,11 +96,11 @@
   ]);
   const parsed = new Map<string, unknown>();
   for (const [section, schema] of schemas) {
-    const result = schema.safeParse(raw[section] ?? {});
+    const result = schema.safeParse(rawSections[section] ?? {});
     if (result.success) parsed.set(section, result.data);
     else faults.push(...result.error.issues.flatMap((issue) => listFaults(file, section, issue)));
   }
-  for (const section of Object.keys(raw).filter((name) => !schemas.has(name))) {
+  for (const section of Object.keys(rawSections).filter((name) => !schemas.has(name))) {
     const reason = `unknown section; known are ${[...schemas.keys()].join(', ')}`;
     faults.push({ file, section, key: '', reason });
   }
@@ -109,6 +120,6 @@
 
 export function formatFault(fault: SettingsFault): string {
   if (fault.section === '') return `${fault.file}: ${fault.reason}`;
-  const place = fault.key === '' ? `[${fault.section}]` : `[${fault.section}] ${fault.key}`;
-  return `${fault.file}: ${place}: ${fault.reason}`;
+  const location = fault.key === '' ? `[${fault.section}]` : `[${fault.section}] ${fault.key}`;
+  return `${fault.file}: ${location}: ${fault.reason}`;
 }
