--- a/packages/sequoiarill-client/src/__tests__/client.test.ts
+++ b/packages/sequoiarill-client/src/__tests__/client.test.ts
@@ -8,8 +8,8 @@
 
 import * as Client from '..';
 
-/** What the fake server does with the next request; after the last one, the last goes on. */
-type Play = (request: Http.IncomingMessage, response: Http.ServerResponse) => void;
+/** How the fake server handles one request; the last behaviour is used for all further requests. */
+type ServerBehaviour = (request: Http.IncomingMessage, response: Http.ServerResponse) => void;
 
 const SEED = 20_261_202;
 const WORDS = ['The', ' jacket', ' fits', ' – þú', ' ert', ' 42', '.'];
@@ -36,22 +36,22 @@
 describe('client', () => {
   let server: Http.Server;
   let client: Client.Client;
-  let plays: Play[] = [];
+  let behaviours: ServerBehaviour[] = [];
   let requests: string[] = [];
   let cursors: (string | undefined)[] = [];
-  let waits: number[] = [];
+  let waitsMs: number[] = [];
 
   beforeEach(async () => {
-    plays = [];
+    behaviours = [];
     requests = [];
     cursors = [];
-    waits = [];
+    waitsMs = [];
     server = Http.createServer((request, response) => {
       requests.push(`${request.method} ${request.url}`);
       cursors.push(request.headers['last-event-id'] as string | undefined);
       request.resume();
-      const play = plays.length > 1 ? plays.shift() : plays[0];
-      play?.(request, response);
+      const behaviour = behaviours.length > 1 ? behaviours.shift() : behaviours[0];
+      behaviour?.(request, response);
     });
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
@@ -73,27 +73,31 @@
       nextRandom: () => 0.5,
       clock: {
         async waitMs(ms) {
-          waits.push(ms);
+          waitsMs.push(ms);
         },
       },
       backoff: { maxAttempts: 3 },
     });
   }
 
-  /** Sends events from where the request asks, up to the number `end`, then ends or breaks. */
-  function sendEvents(events: readonly string[], end = events.length, isBroken = false): Play {
+  /** Sends events from the requested position up to index `end`, then ends or breaks the stream. */
+  function sendEvents(
+    events: readonly string[],
+    end = events.length,
+    isBroken = false,
+  ): ServerBehaviour {
     return (request, response) => {
-      const after = /starting_after=(\d+)/.exec(request.url ?? '')?.[1];
-      const from = after === undefined ? 0 : Number(after) + 1;
+      const startingAfter = /starting_after=(\d+)/.exec(request.url ?? '')?.[1];
+      const firstIndex = startingAfter === undefined ? 0 : Number(startingAfter) + 1;
       response.writeHead(200, { 'content-type': 'text/event-stream' });
-      response.write(events.slice(from, end).join(''), () => {
+      response.write(events.slice(firstIndex, end).join(''), () => {
         if (isBroken) response.destroy();
         else response.end();
       });
     };
   }
 
-  function refuse(status: number, code: string, retryAfter?: number): Play {
+  function refuseRequest(status: number, code: string, retryAfter?: number): ServerBehaviour {
     return (request, response) => {
       const headers = retryAfter === undefined ? {} : { 'retry-after': String(retryAfter) };
       response.writeHead(status, headers);
@@ -111,8 +115,8 @@
     }
   }
 
-  it('yields the whole answer and how it ended', async () => {
-    plays = [sendEvents(EVENTS)];
+  it('yields the complete text and returns the outcome', async () => {
+    behaviours = [sendEvents(EVENTS)];
     expect(await readAnswer()).toEqual({
       text: TEXT,
       outcome: {
@@ -124,26 +128,31 @@
     expect(requests).toEqual(['POST /v1/responses']);
   });
 
-  // A shopper would see words twice, or a sentence with a hole.
-  // The connection breaks at any events, and routers resume too early or skip events.
-  // Cause: trusting the server's idea of where the reader is.
-  it('never repeats or drops a delta, wherever connections break and resume', async () => {
-    const cut = FastCheck.record({
+  // Guards against duplicated or missing text if the client trusts the server's resume position:
+  // connections break at arbitrary events, and routers resume too early or skip events.
+  it('yields each delta exactly once, wherever connections break and resume', async () => {
+    const connection = FastCheck.record({
       end: FastCheck.integer({ min: 0, max: EVENTS.length - 1 }),
       isBroken: FastCheck.boolean(),
-      isRepeating: FastCheck.boolean(),
-      dropped: FastCheck.option(FastCheck.integer({ min: 1, max: EVENTS.length - 1 })),
+      isDuplicating: FastCheck.boolean(),
+      omittedIndex: FastCheck.option(FastCheck.integer({ min: 1, max: EVENTS.length - 1 })),
     });
     const property = FastCheck.asyncProperty(
-      FastCheck.array(cut, { maxLength: 2 }),
-      async (cuts) => {
-        plays = cuts.map(({ dropped, end, isBroken, isRepeating }): Play => {
-          const events = EVENTS.map((event, index) => (index === dropped ? '' : event));
-          const send = sendEvents(events, end, isBroken);
-          const repeat = sendEvents([...events.slice(0, 2), ...events], end + 2, isBroken);
-          return isRepeating ? repeat : send;
-        });
-        plays.push(sendEvents(EVENTS));
+      FastCheck.array(connection, { maxLength: 2 }),
+      async (connections) => {
+        behaviours = connections.map(
+          ({ omittedIndex, end, isBroken, isDuplicating }): ServerBehaviour => {
+            const events = EVENTS.map((event, index) => (index === omittedIndex ? '' : event));
+            const send = sendEvents(events, end, isBroken);
+            const sendWithDuplicates = sendEvents(
+              [...events.slice(0, 2), ...events],
+              end + 2,
+              isBroken,
+            );
+            return isDuplicating ? sendWithDuplicates : send;
+          },
+        );
+        behaviours.push(sendEvents(EVENTS));
         const { outcome, text } = await readAnswer();
         expect([text, outcome.kind]).toEqual([TEXT, 'completed']);
       },
@@ -151,8 +160,8 @@
     await FastCheck.assert(property, { seed: SEED, numRuns: 150 });
   });
 
-  it('resumes after the last event it has, with the cursor of that event', async () => {
-    plays = [sendEvents(EVENTS, 4, true), sendEvents(EVENTS)];
+  it('resumes after the last event received, with the cursor of that event', async () => {
+    behaviours = [sendEvents(EVENTS, 4, true), sendEvents(EVENTS)];
     expect((await readAnswer()).text).toEqual(TEXT);
     expect(requests).toEqual([
       'POST /v1/responses',
@@ -161,64 +170,64 @@
     expect(cursors).toEqual([undefined, 'cursor-3']);
   });
 
-  it('waits as long as the server asks, and no less', async () => {
-    plays = [refuse(503, 'overloaded', 4), sendEvents(EVENTS)];
+  it('waits at least as long as Retry-After requests', async () => {
+    behaviours = [refuseRequest(503, 'overloaded', 4), sendEvents(EVENTS)];
     expect((await readAnswer()).text).toEqual(TEXT);
-    expect(waits).toEqual([4_500]);
+    expect(waitsMs).toEqual([4_500]);
   });
 
-  it('says "not run" only when every attempt was refused so', async () => {
-    plays = [refuse(503, 'overloaded', 1)];
+  it('returns notRun only if no attempt can have run', async () => {
+    behaviours = [refuseRequest(503, 'overloaded', 1)];
     expect((await readAnswer()).outcome).toEqual({
       kind: 'notRun',
       message: 'refused: overloaded',
       retryAfterSeconds: 1,
     });
-    plays = [sendEvents([], 0, true), refuse(503, 'overloaded', 1)];
+    behaviours = [sendEvents([], 0, true), refuseRequest(503, 'overloaded', 1)];
     expect((await readAnswer()).outcome.kind).toEqual('lost');
   });
 
-  it('gives up a wait that is too long at once, and a request that is wrong', async () => {
-    plays = [refuse(429, 'rate_limit_exceeded', 3_600)];
+  it('does not retry after an excessive Retry-After or an invalid request', async () => {
+    behaviours = [refuseRequest(429, 'rate_limit_exceeded', 3_600)];
     expect((await readAnswer()).outcome).toEqual({
       kind: 'notRun',
       message: 'refused: rate_limit_exceeded',
       retryAfterSeconds: 3_600,
     });
-    plays = [refuse(404, 'model_not_found')];
+    behaviours = [refuseRequest(404, 'model_not_found')];
     expect((await readAnswer()).outcome.kind).toEqual('rejected');
     expect(requests.length).toEqual(2);
   });
 
-  // A reader would take half an answer for a whole one.
-  // The router died with what it kept, and no other has the response.
-  it('tells that an answer is lost when nobody can resume it', async () => {
-    plays = [sendEvents(EVENTS, 4, true), refuse(404, 'response_not_found')];
+  // Guards against partial text that is reported as complete: the router that stored the response
+  // crashed, and no other router has it.
+  it('returns lost if no router can resume the response', async () => {
+    behaviours = [sendEvents(EVENTS, 4, true), refuseRequest(404, 'response_not_found')];
     const { outcome, text } = await readAnswer();
     expect([text, outcome.kind]).toEqual([WORDS.slice(0, 3).join(''), 'lost']);
     expect(requests.length).toEqual(3);
   });
 
-  it('tells what the server says of a failed answer', async () => {
+  it('returns the error that the server reports for a failed response', async () => {
     const error = { code: 'server_error', message: 'no engine is left', retry_after_seconds: 5 };
-    plays = [sendEvents(buildEvents('failed', error))];
+    behaviours = [sendEvents(buildEvents('failed', error))];
     expect(await readAnswer()).toEqual({
       text: TEXT,
       outcome: { kind: 'lost', message: 'no engine is left', retryAfterSeconds: 5 },
     });
   });
 
-  it('cancels a response whose reader returns early', async () => {
-    plays = [sendEvents(EVENTS), refuse(200, '')];
+  it('cancels the response if the consumer returns early', async () => {
+    behaviours = [sendEvents(EVENTS), refuseRequest(200, '')];
     const stream = client.streamResponse(REQUEST);
     await stream.next();
     await stream.return({ kind: 'cancelled' });
     expect(requests).toEqual(['POST /v1/responses', 'POST /v1/responses/resp_1/cancel']);
   });
 
-  it('ends as cancelled when its signal is aborted', async () => {
+  it('returns cancelled if its signal is aborted', async () => {
     const controller = new AbortController();
-    plays = [sendEvents(EVENTS, 3, true), () => controller.abort(), refuse(200, '')];
+    behaviours = [sendEvents(EVENTS, 3, true), () => controller.abort(), refuseRequest(200, '')];
     const stream = client.streamResponse(REQUEST, controller.signal);
     let step = await stream.next();
     while (step.done !== true) step = await stream.next();
--- a/packages/sequoiarill-client/src/attempts.ts
+++ b/packages/sequoiarill-client/src/attempts.ts
@@ -1,22 +1,24 @@
-/** What a failed attempt means for the answer. */
-import type { StreamRefused, StreamUnreached } from './connection';
+/**
+ * Classifies failed attempts: whether to retry, and with which outcome the response ends otherwise.
+ */
+import type { StreamRefused, StreamUnreachable } from './connection';
 import type { ResponseOutcome } from './outcomes';
 import type { Position } from './progress';
 
-/** One attempt that did not bring the answer to its end. */
-export interface Failure {
+/** An attempt that ended before the response was complete. */
+export interface AttemptFailure {
   readonly message: string;
   readonly retryAfterSeconds: number | undefined;
-  /** Whether the request may have begun to run in this attempt. */
+  /** Whether the server may have started to process the request in this attempt. */
   readonly mayHaveRun: boolean;
 }
 
-const NOT_FOUND = 404;
-const REQUEST_TIMEOUT = 408;
-const TOO_MANY_REQUESTS = 429;
-const SERVER_ERROR = 500;
+const HTTP_NOT_FOUND = 404;
+const HTTP_REQUEST_TIMEOUT = 408;
+const HTTP_TOO_MANY_REQUESTS = 429;
+const HTTP_SERVER_ERROR = 500;
 
-/** Codes by which a router says that nothing ran. */
+/** Error codes with which a router guarantees that the request was not processed. */
 const NOT_RUN_CODES: readonly string[] = [
   'rate_limit_exceeded',
   'overloaded',
@@ -26,28 +28,28 @@
 ];
 
 /**
- * Whether another attempt may go better. A response that is not found may be kept by another router
+ * Whether another attempt may succeed. A response that is not found may be stored at another router
  * behind the same address.
  */
-function isTransient(refused: StreamRefused, position: Position): boolean {
+function isRetryable(refused: StreamRefused, position: Position): boolean {
   const { status } = refused;
-  const isElsewhere = status === NOT_FOUND && position.responseId !== undefined;
-  const isBusy = status === TOO_MANY_REQUESTS || status === REQUEST_TIMEOUT;
-  return isElsewhere || isBusy || status >= SERVER_ERROR;
+  const mayBeElsewhere = status === HTTP_NOT_FOUND && position.responseId !== undefined;
+  const isBusy = status === HTTP_TOO_MANY_REQUESTS || status === HTTP_REQUEST_TIMEOUT;
+  return mayBeElsewhere || isBusy || status >= HTTP_SERVER_ERROR;
 }
 
-/** The outcome of a refusal that no further attempt will change. */
+/** Returns the outcome for a refusal that further attempts cannot change, or undefined to retry. */
 export function findFinalOutcome(
   refused: StreamRefused,
   position: Position,
 ): ResponseOutcome | undefined {
-  if (isTransient(refused, position)) return undefined;
+  if (isRetryable(refused, position)) return undefined;
   const { code, message, status } = refused;
   if (position.responseId === undefined) return { kind: 'rejected', status, code, message };
   return { kind: 'lost', message, retryAfterSeconds: refused.retryAfterSeconds };
 }
 
-export function buildFailure(result: StreamRefused | StreamUnreached): Failure {
+export function buildFailure(result: StreamRefused | StreamUnreachable): AttemptFailure {
   if (result.kind === 'unreached') {
     const { mayHaveArrived, message } = result;
     return { message, retryAfterSeconds: undefined, mayHaveRun: mayHaveArrived };
@@ -56,13 +58,16 @@
   return { message, retryAfterSeconds, mayHaveRun: !NOT_RUN_CODES.includes(code) };
 }
 
-/** A stream that had begun, so that the request is running or ran. */
-export function buildBreak(message: string): Failure {
+/** Builds the failure of a stream that broke after it was opened, so the request may have run. */
+export function buildStreamFailure(message: string): AttemptFailure {
   return { message, retryAfterSeconds: undefined, mayHaveRun: true };
 }
 
-/** The outcome after the last attempt: "not run" is said only when every attempt was refused so. */
-export function buildGivenUp(failure: Failure, mayHaveRun: boolean): ResponseOutcome {
+/** Builds the outcome after the last attempt; `notRun` only if no attempt can have run. */
+export function buildExhaustedOutcome(
+  failure: AttemptFailure,
+  mayHaveRun: boolean,
+): ResponseOutcome {
   const { message, retryAfterSeconds } = failure;
   return { kind: mayHaveRun ? 'lost' : 'notRun', message, retryAfterSeconds };
 }
--- a/packages/sequoiarill-client/src/backoff.ts
+++ b/packages/sequoiarill-client/src/backoff.ts
@@ -1,19 +1,22 @@
-/** How long to wait before the next attempt. Pure: the random number is an argument. */
+/**
+ * Computes the delay before the next attempt. Pure functions; the random generator is an argument.
+ */
 
 export interface BackoffSettings {
-  /** Attempts in a row that bring nothing new before an answer is given up. */
+  /** Consecutive attempts without a new event after which the client gives up. */
   readonly maxAttempts: number;
-  /** Bound of the first wait, in milliseconds; it doubles with each attempt. */
+  /** Upper bound of the first delay, in milliseconds; it doubles with each attempt. */
   readonly firstDelayMs: number;
-  /** Bound of every wait that the server did not name, in milliseconds. */
+  /** Upper bound of all delays, in milliseconds, unless the server sends `Retry-After`. */
   readonly maxDelayMs: number;
-  /** A server that asks for more patience than this gets none, in milliseconds. */
+  /** The client gives up if the server requests a longer delay than this, in milliseconds. */
   readonly maxRetryAfterMs: number;
 }
 
 /**
- * A broken stream is tried again soon, since a router or engine is replaced in seconds, and the
- * fifth wait is already at the bound, so that thousands of callers do not bury what came back.
+ * The first retries of a broken stream follow quickly, since a router or engine is replaced within
+ * seconds. The bound of the delay rises to 1.6 s by the fifth retry, so that retries of thousands of
+ * callers do not overload a router or engine that has just recovered.
  */
 export const DEFAULT_BACKOFF: BackoffSettings = {
   maxAttempts: 8,
@@ -22,13 +25,13 @@
   maxRetryAfterMs: 30_000,
 };
 
-/** Without it, callers that a server sent away together would come back together. */
-const RETRY_AFTER_SPREAD = 0.25;
+/** Prevents callers that were refused at the same time from retrying at the same time. */
+const RETRY_AFTER_JITTER_RATIO = 0.25;
 const MS_PER_SECOND = 1_000;
 
 /**
- * Waits at random up to the bound, so that callers cut off together come back spread out. A wait
- * that the server named is never shortened.
+ * Returns a random delay up to the current bound (full jitter), so that callers that were
+ * disconnected together do not reconnect together. A `Retry-After` delay is never shortened.
  */
 export function computeDelayMs(
   settings: BackoffSettings,
@@ -37,13 +40,13 @@
   nextRandom: () => number,
 ): number {
   if (retryAfterSeconds !== undefined) {
-    return retryAfterSeconds * MS_PER_SECOND * (1 + RETRY_AFTER_SPREAD * nextRandom());
+    return retryAfterSeconds * MS_PER_SECOND * (1 + RETRY_AFTER_JITTER_RATIO * nextRandom());
   }
-  const bound = Math.min(settings.maxDelayMs, settings.firstDelayMs * 2 ** (attempt - 1));
-  return bound * nextRandom();
+  const maxWaitMs = Math.min(settings.maxDelayMs, settings.firstDelayMs * 2 ** (attempt - 1));
+  return maxWaitMs * nextRandom();
 }
 
-/** Whether to give up: too many attempts, or a server that asks for more patience than there is. */
+/** Whether to give up, after too many attempts or if the server requests too long a delay. */
 export function isExhausted(
   settings: BackoffSettings,
   attempt: number,
--- a/packages/sequoiarill-client/src/client.ts
+++ b/packages/sequoiarill-client/src/client.ts
@@ -1,42 +1,44 @@
-/** A caller's library: streams a response to its end over as many connections as it takes. */
+/**
+ * Client library for callers: streams a response and resumes it over further connections if needed.
+ */
 import { setTimeout as startTimeout } from 'node:timers/promises';
 
 import type { Clock } from '@sequoiarill/types';
 import * as Undici from 'undici';
 
 import * as Attempts from './attempts';
-import type { Failure } from './attempts';
+import type { AttemptFailure } from './attempts';
 import * as Backoff from './backoff';
 import * as Connections from './connection';
 import type { ResponseRequest } from './connection';
 import type { ResponseOutcome } from './outcomes';
 import * as Progresses from './progress';
 import type { Progress } from './progress';
-import * as Reading from './reading';
-import type { TextDelta } from './reading';
+import * as DeltaReader from './deltaReader';
+import type { TextDelta } from './deltaReader';
 
 export interface ClientOptions {
-  /** Such as `https://gateway.example:8443`, without a path. */
+  /** Scheme, host and port without a path, such as `https://gateway.example:8443`. */
   readonly baseUrl: string;
   readonly apiKey: string;
   readonly backoff?: Partial<Backoff.BackoffSettings>;
-  /** Silence on a stream after which it is taken for broken, in milliseconds. */
+  /** Time without data after which a stream counts as broken, in milliseconds. */
   readonly idleTimeoutMs?: number;
-  /** Uniform in [0, 1). */
+  /** Returns uniformly distributed numbers in [0, 1). */
   readonly nextRandom?: () => number;
   readonly clock?: Pick<Clock, 'waitMs'>;
 }
 
 export interface Client {
   /**
-   * Yields each piece of text once and in order, and returns how the answer ended. Returning early
-   * from the generator, or aborting the signal, cancels the response.
+   * Yields each text delta exactly once and in order, and returns the outcome of the response.
+   * Returning early from the generator, or aborting the signal, cancels the response.
    */
   readonly streamResponse: (
     request: ResponseRequest,
     signal?: AbortSignal,
   ) => AsyncGenerator<TextDelta, ResponseOutcome, void>;
-  /** Closes its connections. */
+  /** Closes all connections of the client. */
   readonly close: () => Promise<void>;
 }
 
@@ -57,7 +59,9 @@
   const dispatcher = new Undici.Agent({ bodyTimeout });
   const connection = Connections.createConnection({ ...options, dispatcher });
 
-  /** One connection; a refusal or a break is a failure of this attempt. */
+  /**
+   * Reads the response over one connection; a refusal or an interruption fails this attempt only.
+   */
   async function* runAttempt(
     request: ResponseRequest,
     progress: Progress,
@@ -71,8 +75,8 @@
       const outcome = isRefused ? Attempts.findFinalOutcome(opened, position) : undefined;
       return { outcome, failure };
     }
-    const { outcome, problem } = yield* Reading.readDeltas(opened.bytes, progress);
-    return { outcome, failure: Attempts.buildBreak(problem) };
+    const { outcome, failureReason } = yield* DeltaReader.readDeltas(opened.bytes, progress);
+    return { outcome, failure: Attempts.buildStreamFailure(failureReason) };
   }
 
   async function* runAttempts(
@@ -83,14 +87,14 @@
     let mayHaveRun = false;
     let attempt = 0;
     while (!signal.aborted) {
-      const before = progress.getPosition().sequenceNumber;
+      const previousSequenceNumber = progress.getPosition().sequenceNumber;
       const { failure, outcome } = yield* runAttempt(request, progress, signal);
       if (outcome !== undefined) return outcome;
       if (signal.aborted) break;
       mayHaveRun ||= failure.mayHaveRun;
-      attempt = progress.getPosition().sequenceNumber > before ? 1 : attempt + 1;
+      attempt = progress.getPosition().sequenceNumber > previousSequenceNumber ? 1 : attempt + 1;
       if (Backoff.isExhausted(backoff, attempt, failure.retryAfterSeconds)) {
-        return Attempts.buildGivenUp(failure, mayHaveRun);
+        return Attempts.buildExhaustedOutcome(failure, mayHaveRun);
       }
       const delayMs = Backoff.computeDelayMs(
         backoff,
@@ -117,7 +121,7 @@
       outcome = yield* runAttempts(request, progress, controller.signal);
     } finally {
       signal?.removeEventListener('abort', handleAbort);
-      // A reader that returned early leaves a connection open.
+      // Closes the connection that is still open if the consumer returned early.
       controller.abort();
       const { responseId } = progress.getPosition();
       if (outcome === CANCELLED && responseId !== undefined) {
@@ -132,6 +136,6 @@
 
 interface AttemptResult {
   readonly outcome: ResponseOutcome | undefined;
-  /** Used where there is no outcome. */
-  readonly failure: Failure;
+  /** Applies only if `outcome` is undefined. */
+  readonly failure: AttemptFailure;
 }
--- a/packages/sequoiarill-client/src/connection.ts
+++ b/packages/sequoiarill-client/src/connection.ts
@@ -1,9 +1,9 @@
-/** Opens a stream, or tells why it cannot be opened. */
+/** Sends the HTTP requests that start, resume and cancel a response. */
 import * as Undici from 'undici';
 
 import type { Position } from './progress';
 
-/** Body of `POST /v1/responses`; every field of the published API may be given. */
+/** Body of `POST /v1/responses`; accepts all fields of the published API. */
 export interface ResponseRequest extends Readonly<Record<string, unknown>> {
   readonly model: string;
   readonly input: unknown;
@@ -14,7 +14,7 @@
   readonly bytes: AsyncIterable<Uint8Array>;
 }
 
-/** The server answered with an error. */
+/** The server responded with an error. */
 export interface StreamRefused {
   readonly kind: 'refused';
   readonly status: number;
@@ -23,31 +23,33 @@
   readonly retryAfterSeconds: number | undefined;
 }
 
-/** No answer came. */
-export interface StreamUnreached {
+/** No response was received. */
+export interface StreamUnreachable {
   readonly kind: 'unreached';
   readonly message: string;
-  /** False when the connection was refused, so that no byte of the request can have arrived. */
+  /**
+   * False if no connection was established, so that the server cannot have received the request.
+   */
   readonly mayHaveArrived: boolean;
 }
 
-export type OpenResult = StreamOpened | StreamRefused | StreamUnreached;
+export type OpenResult = StreamOpened | StreamRefused | StreamUnreachable;
 
 export interface ConnectionOptions {
-  /** Such as `https://gateway.example:8443`, without a path. */
+  /** Scheme, host and port without a path, such as `https://gateway.example:8443`. */
   readonly baseUrl: string;
   readonly apiKey: string;
   readonly dispatcher: Undici.Dispatcher;
 }
 
 export interface Connection {
-  /** Starts the response, or reads on after `position` where it has begun already. */
+  /** Starts the response, or resumes it after `position` if it has already started. */
   readonly openStream: (
     request: ResponseRequest,
     position: Position,
     signal: AbortSignal,
   ) => Promise<OpenResult>;
-  /** Best effort: a response that cannot be cancelled ends by itself when nobody reads it. */
+  /** Best effort; errors are ignored, since the server ends a response that nobody reads. */
   readonly cancelResponse: (responseId: string) => Promise<void>;
 }
 
@@ -59,7 +61,10 @@
   const { baseUrl, dispatcher } = options;
   const authorization = `Bearer ${options.apiKey}`;
 
-  function sendStart(request: ResponseRequest, signal: AbortSignal): Promise<Undici.Response> {
+  function sendStartRequest(
+    request: ResponseRequest,
+    signal: AbortSignal,
+  ): Promise<Undici.Response> {
     return Undici.fetch(`${baseUrl}/v1/responses`, {
       method: 'POST',
       headers: { authorization, 'content-type': 'application/json' },
@@ -69,16 +74,17 @@
     });
   }
 
-  function sendResume(
+  function sendResumeRequest(
     responseId: string,
     position: Position,
     signal: AbortSignal,
   ): Promise<Undici.Response> {
     const id = encodeURIComponent(responseId);
-    const place = `stream=true&starting_after=${position.sequenceNumber}`;
-    const cursor = position.eventId === undefined ? {} : { 'last-event-id': position.eventId };
-    return Undici.fetch(`${baseUrl}/v1/responses/${id}?${place}`, {
-      headers: { authorization, ...cursor },
+    const query = `stream=true&starting_after=${position.sequenceNumber}`;
+    const cursorHeader =
+      position.eventId === undefined ? {} : { 'last-event-id': position.eventId };
+    return Undici.fetch(`${baseUrl}/v1/responses/${id}?${query}`, {
+      headers: { authorization, ...cursorHeader },
       signal,
       dispatcher,
     });
@@ -93,12 +99,12 @@
       const { responseId } = position;
       const response =
         responseId === undefined
-          ? await sendStart(request, signal)
-          : await sendResume(responseId, position, signal);
+          ? await sendStartRequest(request, signal)
+          : await sendResumeRequest(responseId, position, signal);
       if (!response.ok) return await buildRefused(response);
-      return { kind: 'opened', bytes: response.body ?? createEmptyBytes() };
+      return { kind: 'opened', bytes: response.body ?? createEmptyStream() };
     } catch (error) {
-      return buildUnreached(error);
+      return buildUnreachable(error);
     }
   }
 
@@ -114,8 +120,8 @@
   return { openStream, cancelResponse };
 }
 
-/** A 200 without a body is a stream that broke before its first event. */
-async function* createEmptyBytes(): AsyncGenerator<Uint8Array, void, void> {
+/** Represents a 200 response without a body: a stream that broke before its first event. */
+async function* createEmptyStream(): AsyncGenerator<Uint8Array, void, void> {
   yield* [];
 }
 
@@ -127,12 +133,12 @@
     kind: 'refused',
     status: response.status,
     code: error.code ?? 'unknown',
-    message: error.message ?? `the server answered ${response.status}`,
+    message: error.message ?? `the server responded with status ${response.status}`,
     retryAfterSeconds: Number.isFinite(retryAfter) ? retryAfter : undefined,
   };
 }
 
-/** A balancer in front may answer with anything, not only with the published error form. */
+/** Returns an empty object for other formats: a load balancer may respond with any body. */
 function parseError(text: string): NonNullable<ErrorBody['error']> {
   try {
     return (JSON.parse(text) as ErrorBody).error ?? {};
@@ -143,13 +149,15 @@
 
 const NOT_ARRIVED_CODES: readonly unknown[] = ['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT'];
 
-function buildUnreached(error: unknown): StreamUnreached {
+function buildUnreachable(error: unknown): StreamUnreachable {
   const { cause } = error as { readonly cause?: { readonly code?: unknown } };
   const mayHaveArrived = !NOT_ARRIVED_CODES.includes(cause?.code);
   return { kind: 'unreached', message: formatCause(error), mayHaveArrived };
 }
 
-/** `fetch` puts what happened into the cause of its error. */
+/**
+ * Returns the message of the underlying error, which `fetch` stores as the cause of its own error.
+ */
 export function formatCause(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   return error.cause instanceof Error ? error.cause.message : error.message;
--- a/packages/sequoiarill-client/src/reading.ts
+++ b/packages/sequoiarill-client/src/deltaReader.ts
@@ -1,4 +1,4 @@
-/** Reads one connection's share of a response. */
+/** Reads the text deltas that arrive over one connection. */
 import * as Connections from './connection';
 import * as Outcomes from './outcomes';
 import type { ResponseOutcome } from './outcomes';
@@ -6,21 +6,21 @@
 import * as StreamEvents from './streamEvents';
 import type { StreamEvent } from './streamEvents';
 
-/** Text that was never yielded before. */
+/** A piece of text that has not been yielded before. */
 export interface TextDelta {
   readonly text: string;
-  /** Number of its event; they only rise. */
+  /** Sequence number of the event; strictly increasing. */
   readonly sequenceNumber: number;
 }
 
 export interface ReadResult {
   readonly outcome: ResponseOutcome | undefined;
-  /** Why the connection ended, where there is no outcome. */
-  readonly problem: string;
+  /** Why reading ended, if `outcome` is undefined. */
+  readonly failureReason: string;
 }
 
-const DELTA = 'response.output_text.delta';
-const ERROR = 'error';
+const DELTA_TYPE = 'response.output_text.delta';
+const ERROR_TYPE = 'error';
 const END_TYPES: readonly string[] = [
   'response.completed',
   'response.incomplete',
@@ -30,10 +30,10 @@
 /**
  * Yields text until the response or the connection ends.
  *
- * Event numbers guard the text: a router that resumes from too early would repeat a delta, and one
- * that resumes from too late, or that dropped events of a slow reader, would leave one out. A number
- * that was seen is skipped, and one that leaves a gap ends the connection, so that the reader asks
- * again from where it is.
+ * Sequence numbers protect the text against duplicates and gaps: a router that resumes too early
+ * repeats deltas, and one that resumes too late, or that dropped events for a slow reader, omits
+ * some. Events that were already read are skipped. A gap ends the connection, so that the client
+ * resumes from its current position.
  */
 export async function* readDeltas(
   bytes: AsyncIterable<Uint8Array>,
@@ -43,23 +43,23 @@
     for await (const event of StreamEvents.readEvents(bytes)) {
       const position = progress.getPosition();
       const { sequenceNumber } = event;
-      const expected = position.sequenceNumber + 1;
-      if (sequenceNumber > expected) return buildBroken(`event ${expected} is missing`);
-      if (sequenceNumber === expected) {
+      const nextNumber = position.sequenceNumber + 1;
+      if (sequenceNumber > nextNumber) return buildInterrupted(`event ${nextNumber} is missing`);
+      if (sequenceNumber === nextNumber) {
         progress.setPosition(getNextPosition(position, event));
-        if (event.type === DELTA) yield { text: event.delta ?? '', sequenceNumber };
+        if (event.type === DELTA_TYPE) yield { text: event.delta ?? '', sequenceNumber };
         const outcome = findOutcome(event);
-        if (outcome !== undefined) return { outcome, problem: '' };
+        if (outcome !== undefined) return { outcome, failureReason: '' };
       }
     }
   } catch (error) {
-    return buildBroken(Connections.formatCause(error));
+    return buildInterrupted(Connections.formatCause(error));
   }
-  return buildBroken('the stream ended before the response did');
+  return buildInterrupted('the stream ended before the response did');
 }
 
-function buildBroken(problem: string): ReadResult {
-  return { outcome: undefined, problem };
+function buildInterrupted(failureReason: string): ReadResult {
+  return { outcome: undefined, failureReason };
 }
 
 function getNextPosition(position: Position, event: StreamEvent): Position {
@@ -74,7 +74,7 @@
   if (END_TYPES.includes(event.type) && event.response !== undefined) {
     return Outcomes.buildOutcome(event.response);
   }
-  if (event.type !== ERROR) return undefined;
-  const message = event.message ?? 'The server reported an error without a reason.';
+  if (event.type !== ERROR_TYPE) return undefined;
+  const message = event.message ?? 'The server reported an error and gave no reason.';
   return { kind: 'lost', message, retryAfterSeconds: undefined };
 }
--- a/packages/sequoiarill-client/src/index.ts
+++ b/packages/sequoiarill-client/src/index.ts
@@ -1,6 +1,6 @@
-/** A client that resumes an answer by itself. */
+/** Client that resumes interrupted responses automatically. */
 export * from './backoff';
 export * from './client';
 export type { ResponseRequest } from './connection';
 export type * from './outcomes';
-export type { TextDelta } from './reading';
+export type { TextDelta } from './deltaReader';
--- a/packages/sequoiarill-client/src/outcomes.ts
+++ b/packages/sequoiarill-client/src/outcomes.ts
@@ -1,21 +1,21 @@
-/** How an answer ends, as the caller is told. */
+/** Outcomes of a response, as returned to the caller. */
 import type { FinishReason, Usage } from '@sequoiarill/types';
 
-/** The whole text was yielded. */
+/** The complete text was yielded. */
 export interface ResponseCompleted {
   readonly kind: 'completed';
   readonly finishReason: FinishReason;
   readonly usage: Usage | undefined;
 }
 
-/** Nothing ran, and nothing was yielded. */
+/** The request was not processed, and no text was yielded. */
 export interface ResponseNotRun {
   readonly kind: 'notRun';
   readonly message: string;
   readonly retryAfterSeconds: number | undefined;
 }
 
-/** The request itself is refused; the same one will be refused again. */
+/** The request is invalid; sending it again would be refused as well. */
 export interface ResponseRejected {
   readonly kind: 'rejected';
   readonly status: number;
@@ -23,14 +23,17 @@
   readonly message: string;
 }
 
-/** It may have run and cannot be read to its end. What was yielded stands. */
+/**
+ * The request may have run, but the rest of the response is unavailable. Text already yielded is
+ * valid.
+ */
 export interface ResponseLost {
   readonly kind: 'lost';
   readonly message: string;
   readonly retryAfterSeconds: number | undefined;
 }
 
-/** Cancelled, by this caller or by another one of the organisation. */
+/** The response was cancelled by this caller or by another caller of the organisation. */
 export interface ResponseCancelled {
   readonly kind: 'cancelled';
 }
@@ -38,7 +41,7 @@
 export type ResponseOutcome =
   ResponseCompleted | ResponseNotRun | ResponseRejected | ResponseLost | ResponseCancelled;
 
-/** The response object of the events that end a stream, as far as it is read here. */
+/** The fields that the client reads from the response object of an event. */
 export interface ResponseObject {
   readonly id: string;
   readonly status: string;
@@ -51,7 +54,7 @@
 }
 
 const INVALID_PROMPT = 'invalid_prompt';
-const BAD_REQUEST = 400;
+const HTTP_BAD_REQUEST = 400;
 
 function getUsage(response: ResponseObject): Usage | undefined {
   if (!response.usage) return undefined;
@@ -59,14 +62,14 @@
   return { promptTokens, completionTokens };
 }
 
-/** The outcome that the last event of a stream tells. */
+/** Derives the outcome from the response object of the final event. */
 export function buildOutcome(response: ResponseObject): ResponseOutcome {
   const usage = getUsage(response);
   if (response.status === 'completed') return { kind: 'completed', finishReason: 'stop', usage };
   if (response.status === 'incomplete') return { kind: 'completed', finishReason: 'length', usage };
   if (response.status === 'cancelled') return { kind: 'cancelled' };
   const code = response.error?.code ?? 'unknown';
-  const message = response.error?.message ?? 'The answer failed without a reason.';
-  if (code === INVALID_PROMPT) return { kind: 'rejected', status: BAD_REQUEST, code, message };
+  const message = response.error?.message ?? 'The response failed and the server gave no reason.';
+  if (code === INVALID_PROMPT) return { kind: 'rejected', status: HTTP_BAD_REQUEST, code, message };
   return { kind: 'lost', message, retryAfterSeconds: response.error?.retry_after_seconds };
 }
--- a/packages/sequoiarill-client/src/progress.ts
+++ b/packages/sequoiarill-client/src/progress.ts
@@ -1,14 +1,14 @@
-/** How far a response was read, kept over all connections that it takes. */
+/** The read position in a response, shared by all connections used to read it. */
 
 export interface Position {
   readonly responseId: string | undefined;
   readonly sequenceNumber: number;
-  /** The SSE `id:` seen last. */
+  /** The last SSE `id:` received. */
   readonly eventId: string | undefined;
 }
 
-/** Before the first event, which has the number 0. */
-const START: Position = { responseId: undefined, sequenceNumber: -1, eventId: undefined };
+/** The position before the first event, whose sequence number is 0. */
+const START_POSITION: Position = { responseId: undefined, sequenceNumber: -1, eventId: undefined };
 
 export interface Progress {
   readonly getPosition: () => Position;
@@ -16,7 +16,7 @@
 }
 
 export function createProgress(): Progress {
-  let current = START;
+  let current = START_POSITION;
   return {
     getPosition: () => current,
     setPosition(position) {
--- a/packages/sequoiarill-client/src/streamEvents.ts
+++ b/packages/sequoiarill-client/src/streamEvents.ts
@@ -1,15 +1,15 @@
-/** Server-sent events of a response, in the published format. */
+/** Parses the server-sent events of a response in the published format. */
 import type { ResponseObject } from './outcomes';
 
-/** One event of a response; what is not needed here is left out. */
+/** One event of a response, with the fields that the client uses. */
 export interface StreamEvent {
-  /** The SSE `id:`, a signed cursor that any router takes as `Last-Event-ID`. */
+  /** The SSE `id:`, a signed cursor that every router accepts as `Last-Event-ID`. */
   readonly eventId: string | undefined;
   readonly type: string;
   readonly sequenceNumber: number;
   readonly delta: string | undefined;
   readonly response: ResponseObject | undefined;
-  /** Of an `error` event. */
+  /** Set for `error` events. */
   readonly message: string | undefined;
 }
 
@@ -23,16 +23,16 @@
 
 const SEPARATOR = '\n\n';
 
-/** Events as they arrive; an unfinished one at the end of a broken stream is dropped. */
+/** Yields events as they arrive; drops an incomplete event at the end of a broken stream. */
 export async function* readEvents(
   bytes: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<StreamEvent, void, void> {
   const decoder = new TextDecoder();
-  let rest = '';
-  for await (const part of bytes) {
-    rest += decoder.decode(part, { stream: true });
-    const blocks = rest.split(SEPARATOR);
-    rest = blocks.pop() ?? '';
+  let buffered = '';
+  for await (const chunk of bytes) {
+    buffered += decoder.decode(chunk, { stream: true });
+    const blocks = buffered.split(SEPARATOR);
+    buffered = blocks.pop() ?? '';
     for (const block of blocks) {
       const event = parseEvent(block);
       if (event !== undefined) yield event;
@@ -40,7 +40,7 @@
   }
 }
 
-/** Comments, which keep a connection open, and the closing `[DONE]` are no events. */
+/** Returns undefined for keep-alive comments and for the final `[DONE]`. */
 function parseEvent(block: string): StreamEvent | undefined {
   const lines = block.split('\n');
   const json = findField(lines, 'data');
