--- a/packages/sequoiarill/src/__tests__/commandPages.test.ts
+++ b/packages/sequoiarill/src/__tests__/commandPages.test.ts
@@ -1,4 +1,4 @@
-/** Commands and options that the pages show, against the command line itself. */
+/** Compares the commands and options in the documentation with the command-line interface. */
 import { describe, it } from 'node:test';
 
 import type { Command } from 'commander';
@@ -12,7 +12,9 @@
   readonly words: readonly string[];
 }
 
-/** What follows the command's own name, which the stand-ins' daemon only begins with. */
+/**
+ * Lists the arguments of each documented `sequoiarill` command, excluding `sequoiarill-standin`.
+ */
 function listUsages(): readonly Usage[] {
   return Pages.listPages().flatMap((page) =>
     Pages.listCode(page).flatMap((code) => {
@@ -42,8 +44,8 @@
   return parent === null ? command.name() : `${formatPath(parent)} ${command.name()}`;
 }
 
-/** Words that the command line would refuse. */
-function listFaults({ file, words }: Usage): readonly string[] {
+/** Lists the words that the command line would reject. */
+function listUnknownWords({ file, words }: Usage): readonly string[] {
   const [command, rest] = findCommand(Cli.createProgram(), words);
   const given = rest.filter((word) => word.startsWith('-') && word !== '-');
   const unknown = given.filter((word) => !listOptions(command).includes(word));
@@ -52,14 +54,14 @@
   return faults.map((word) => `${file}: "sequoiarill ${words.join(' ')}": no such ${word}`);
 }
 
-describe('commands in the pages', () => {
-  it('exist, with each option shown', () => {
+describe('commands in the documentation', () => {
+  it('exist with all documented options', () => {
     const usages = listUsages();
     expect(usages.length).toBeGreaterThan(10);
-    expect(usages.flatMap(listFaults)).toEqual([]);
+    expect(usages.flatMap(listUnknownWords)).toEqual([]);
   });
 
-  it('exist where an option is named by itself', () => {
+  it('have every option that is documented without its command', () => {
     const known = new Set(listCommands(Cli.createProgram()).flatMap(listOptions));
     const faults = Pages.listPages().flatMap((page) => {
       const options = Pages.listCode(page).filter((code) => /^--[a-z]/.test(code));
@@ -69,7 +71,7 @@
     expect(faults).toEqual([]);
   });
 
-  it('name every command there is', () => {
+  it('include every command', () => {
     const named = new Set(
       listUsages().map(({ words }) => formatPath(findCommand(Cli.createProgram(), words)[0])),
     );
--- a/packages/sequoiarill/src/__tests__/pages.ts
+++ b/packages/sequoiarill/src/__tests__/pages.ts
@@ -1,12 +1,12 @@
-/** Reads the pages of the repository for the tests that hold them against the code. */
+/** Reads the documentation pages for tests that compare them with the code. */
 import { readdirSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 
-/** Four levels above the compiled test. */
+/** Root of the repository, four levels above the compiled test. */
 export const ROOT = path.resolve(__dirname, '..', '..', '..', '..');
 
 export interface Page {
-  /** Relative to the root. */
+  /** Path relative to the root of the repository. */
   readonly file: string;
   readonly text: string;
 }
@@ -15,14 +15,14 @@
   return { file, text: readFileSync(path.join(ROOT, file), 'utf8') };
 }
 
-/** The README and every page below docs. */
+/** Lists the README and all pages below `docs`. */
 export function listPages(): readonly Page[] {
   const names = readdirSync(path.join(ROOT, 'docs'), { recursive: true, encoding: 'utf8' });
   const docs = names.filter((name) => name.endsWith('.md')).sort();
   return ['README.md', ...docs.map((name) => path.join('docs', name))].map(readPage);
 }
 
-/** Lines of fenced blocks, with continued lines joined, and spans of code in the text. */
+/** Lists the lines of fenced code blocks, with continuation lines joined, and inline code spans. */
 export function listCode(page: Page): readonly string[] {
   const parts = page.text.split(/^```.*$/m);
   const blocks = parts.filter((_, index) => index % 2 === 1);
--- a/packages/sequoiarill/src/__tests__/settingsPages.test.ts
+++ b/packages/sequoiarill/src/__tests__/settingsPages.test.ts
@@ -1,4 +1,4 @@
-/** The examples against the schemas that check them. */
+/** Validates the example files against the schemas. */
 import { describe, it } from 'node:test';
 
 import * as Kernel from '@sequoiarill/kernel';
@@ -9,12 +9,12 @@
 import * as Routers from '../router';
 import * as Pages from './pages';
 
-const EXAMPLE = 'examples/router.ini';
+const EXAMPLE_FILE = 'examples/router.ini';
 
-/** `section.key` of every line that sets a key, commented out or not. */
+/** Lists `section.key` for every key in the example, including those that are commented out. */
 function listExampleKeys(): readonly string[] {
   let section = '';
-  return Pages.readPage(EXAMPLE)
+  return Pages.readPage(EXAMPLE_FILE)
     .text.split('\n')
     .flatMap((line) => {
       section = /^\[(.+)\]$/.exec(line)?.[1] ?? section;
@@ -36,15 +36,17 @@
 }
 
 describe('examples', () => {
-  it('show every key of a router once, and no other', () => {
+  it('contain every settings key of a router exactly once', () => {
     expect([...listExampleKeys()].sort()).toEqual([...listSchemaKeys()].sort());
   });
 
-  it('hold settings without fault', () => {
-    expect(Routers.parseSettings(Pages.readPage(EXAMPLE).text, EXAMPLE).kind).toEqual('settings');
+  it('contain valid settings', () => {
+    expect(Routers.parseSettings(Pages.readPage(EXAMPLE_FILE).text, EXAMPLE_FILE).kind).toEqual(
+      'settings',
+    );
   });
 
-  it('hold a section of the configuration without fault', () => {
+  it('contain a valid configuration section', () => {
     const { file, text } = Pages.readPage('examples/fit.json');
     expect(Platform.checkAlone(text, file, 'fit')).toEqual([]);
   });
--- a/packages/sequoiarill/src/cli.ts
+++ b/packages/sequoiarill/src/cli.ts
@@ -1,4 +1,4 @@
-/** The whole command line, put together from its commands. */
+/** The complete command-line interface, assembled from its commands. */
 import * as Commander from 'commander';
 
 import * as ConfigCommands from './commands/config';
@@ -9,15 +9,17 @@
 
 const EXAMPLES = `
 Examples:
-  sequoiarill settings check router.ini          find faults before a start
+  sequoiarill settings check router.ini          validate a settings file
   sequoiarill router --settings router.ini       run a router
-  sequoiarill config put --section fit fit.json  change one team's section
-  sequoiarill state --at 127.0.0.1:8090          see what a process does
+  sequoiarill config put --section fit fit.json  update the section of one team
+  sequoiarill state --at 127.0.0.1:8090          show the state of a process
   sequoiarill explain resp_abc --at 127.0.0.1:8090`;
 
 export function createProgram(): Commander.Command {
   return new Commander.Command('sequoiarill')
-    .description('serves long generations from engines that can die at any moment')
+    .description(
+      'routes long-running generations to model engines and recovers them from engine failures',
+    )
     .showHelpAfterError()
     .addCommand(RouterCommands.createRouterCommand())
     .addCommand(SettingsCommands.createSettingsCommand())
--- a/packages/sequoiarill/src/commands/__tests__/config.test.ts
+++ b/packages/sequoiarill/src/commands/__tests__/config.test.ts
@@ -11,7 +11,7 @@
 
 import * as ConfigCommands from '../config';
 
-interface Printed {
+interface PrintedOutput {
   readonly out: string;
   readonly error: string;
   readonly exitCode: number;
@@ -23,8 +23,8 @@
 let address = '';
 let platform: PlatformStandin;
 
-/** Runs `config` with these arguments, as the command line does. */
-async function runConfig(...args: readonly string[]): Promise<Printed> {
+/** Runs `sequoiarill config` with these arguments. */
+async function runConfig(...args: readonly string[]): Promise<PrintedOutput> {
   const printed = { out: '', error: '', exitCode: 0 };
   const command = ConfigCommands.createConfigCommand({
     print(text) {
@@ -41,7 +41,7 @@
   return printed;
 }
 
-async function runSection(name: string, ...args: readonly string[]): Promise<Printed> {
+async function runSection(name: string, ...args: readonly string[]): Promise<PrintedOutput> {
   return runConfig(...args, '--section', name, '--platform', address);
 }
 
@@ -51,7 +51,7 @@
   return file;
 }
 
-/** A router's listener for operators that shows this state. */
+/** Starts a server that responds like the operator listener of a router with this state. */
 async function startRouterState(state: object): Promise<Http.Server> {
   const server = Http.createServer((request, response) => {
     response.setHeader('connection', 'close');
@@ -80,16 +80,16 @@
     rmSync(directory, { recursive: true });
   });
 
-  it('puts a section, shows it and what another file would change', async () => {
+  it('writes and prints a section, and shows the differences to another file', async () => {
     const file = writeFile('models.json', MODELS);
     expect((await runSection('models', 'put', file)).exitCode).toEqual(0);
     expect((await runSection('models', 'get')).out.trim()).toEqual(JSON.stringify(MODELS));
-    const other = writeFile('other.json', JSON.stringify(MODELS).replace('v1', 'v2'));
-    const { out } = await runSection('models', 'diff', other);
+    const changedFile = writeFile('other.json', JSON.stringify(MODELS).replace('v1', 'v2'));
+    const { out } = await runSection('models', 'diff', changedFile);
     expect(out).toEqual('~ models.advisor.version: "v1" -> "v2"\n');
   });
 
-  it('refuses faults with file, section, key and reason', async () => {
+  it('reports faults with file, section, key and reason', async () => {
     const file = writeFile('teams.json', { organisations: { shop: { models: ['ghost'] } } });
     expect(await runSection('teams', 'put', file)).toEqual({
       out: '',
@@ -106,7 +106,7 @@
     expect(alone.error).toEqual(`${spelled}: [spelled] organisation: ${reason}\n`);
   });
 
-  it('lets the second of two operators see what the first one wrote', async () => {
+  it('shows a conflicting change of another operator instead of overwriting it', async () => {
     const first = writeFile('first.json', MODELS);
     await runSection('models', 'put', first);
     const revision = await readRevision('models');
@@ -120,9 +120,9 @@
     expect(error.includes('~ models.advisor.version: "v2" -> "v3"')).toEqual(true);
   });
 
-  it('writes once although the answer is lost', async () => {
-    // Story: the platform applies the edit and the connection breaks before the answer. The operator
-    // must be told that it is in force, and the history must hold it once.
+  it('writes once although the response of the platform is lost', async () => {
+    // Guards against a false error or a duplicate revision: the platform applies the edit, and the
+    // connection breaks before the response.
     const file = writeFile('models.json', MODELS);
     await platform.setFault({ kind: 'loseAnswers', count: 1 });
     expect((await runSection('models', 'put', file)).exitCode).toEqual(0);
@@ -131,7 +131,7 @@
     expect(entries.length).toEqual(1);
   });
 
-  it('reverts to an earlier text as a new revision', async () => {
+  it('restores an earlier text as a new revision', async () => {
     await runSection('models', 'put', writeFile('first.json', MODELS));
     const revision = await readRevision('models');
     const changed = JSON.stringify(MODELS).replace('v1', 'v2');
@@ -143,14 +143,14 @@
     expect((await runSection('models', 'revert', '--to', '1')).exitCode).toEqual(1);
   });
 
-  it('says that nothing was written when the platform takes no connection', async () => {
+  it('reports that nothing was written if the platform refuses connections', async () => {
     await platform.setFault({ kind: 'refuse' });
     const { error, exitCode } = await runSection('models', 'put', writeFile('a.json', MODELS));
     expect(exitCode).toEqual(2);
     expect(error.startsWith('the platform does not answer, nothing was written')).toEqual(true);
   });
 
-  it("takes the connection from a router's settings file", async () => {
+  it('reads the platform address from the settings file of a router', async () => {
     const settings = writeFile(
       'router.ini',
       `[process]\nname = r\nzone = z\nregion = r\n[platform]\nendpoints = ${address}\n[callers]\nlisten = x\n`,
@@ -164,9 +164,9 @@
     expect(missing.error).toEqual('name the platform: --platform IP:PORT or --settings FILE\n');
   });
 
-  it('shows which routers lag, in which section and since when', async () => {
-    // Story: a change was accepted, and one router sits in a zone that is cut off. Operators want to
-    // know who still serves by the old text before they rely on the new one.
+  it('shows the routers that lag behind, with the section and the time', async () => {
+    // Guards against a status that hides a router in a partitioned zone, which still uses the old
+    // configuration after a change was accepted.
     await runSection('models', 'put', writeFile('models.json', MODELS));
     const revision = await readRevision('models');
     const held = { name: 'models', revision };
@@ -185,7 +185,7 @@
     servers.forEach((server) => server.close());
   });
 
-  it('makes a key and shows its secret beside the record to store', async () => {
+  it('creates an API key and prints its secret and the record to store', async () => {
     const { out } = await runConfig('key', '--organisation', 'shop', '--json');
     const key = JSON.parse(out) as { presented: string; record: { id: string } };
     expect(key.presented.startsWith(`sqr_${key.record.id}_`)).toEqual(true);
--- a/packages/sequoiarill/src/commands/__tests__/operatorsCommands.test.ts
+++ b/packages/sequoiarill/src/commands/__tests__/operatorsCommands.test.ts
@@ -9,13 +9,13 @@
 import * as Explain from '../explain';
 import * as State from '../state';
 
-interface RecordedOutput extends CommandOutput {
+interface RecordingOutput extends CommandOutput {
   readonly printed: string[];
   readonly errors: string[];
   readonly codes: number[];
 }
 
-function createRecordedOutput(): RecordedOutput {
+function createRecordingOutput(): RecordingOutput {
   const printed: string[] = [];
   const errors: string[] = [];
   const codes: number[] = [];
@@ -29,13 +29,13 @@
   };
 }
 
-/** A listener for operators that knows fixed answers; everything else is 404. */
-async function startListener(answers: Readonly<Record<string, unknown>>): Promise<{
+/** Starts an operator listener with fixed response bodies by path; other paths return 404. */
+async function startListener(bodies: Readonly<Record<string, unknown>>): Promise<{
   readonly server: Server;
   readonly address: string;
 }> {
   const server = createServer((request, response) => {
-    const body = answers[request.url ?? ''];
+    const body = bodies[request.url ?? ''];
     response.writeHead(body === undefined ? 404 : 200, { connection: 'close' });
     response.end(JSON.stringify(body ?? { error: { code: 'notFound', message: 'not here' } }));
   });
@@ -49,7 +49,7 @@
   it('prints aligned text, or JSON on request', async () => {
     const dump = { phase: 'ready', plugins: { platform: { revision: 7, away: false, peers: [] } } };
     const { server, address } = await startListener({ '/state': dump });
-    const output = createRecordedOutput();
+    const output = createRecordingOutput();
     await State.createStateCommand(output).parseAsync(['--at', address], { from: 'user' });
     await State.createStateCommand(output).parseAsync(['--at', address, '--json'], {
       from: 'user',
@@ -66,22 +66,22 @@
     expect(JSON.parse(output.printed[1] ?? '')).toEqual(dump);
   });
 
-  it('says that an address cannot be reached and exits with 1', async () => {
+  it('reports an unreachable address and exits with 1', async () => {
     const { server, address } = await startListener({});
     await new Promise((resolve) => {
       server.close(resolve);
     });
-    const output = createRecordedOutput();
+    const output = createRecordingOutput();
     await State.createStateCommand(output).parseAsync(['--at', address], { from: 'user' });
-    expect(output.errors[0] ?? '').toInclude(`cannot ask ${address}`);
+    expect(output.errors[0] ?? '').toInclude(`cannot reach ${address}`);
     expect(output.codes).toEqual([1]);
   });
 });
 
 describe('explain command', () => {
-  it('puts together what several routers decided, in order', async () => {
-    // A caller resumed its answer at a second router after the first one died halfway and came
-    // back. An operator asks all routers; a third one never had the request.
+  it('merges the decisions of several routers in order of time', async () => {
+    // The first router crashed during the response and restarted, the caller resumed at a second
+    // one, and a third one never received the request; an operator queries all of them.
     const first = {
       requestId: 'r-1',
       process: 'router-1',
@@ -120,7 +120,7 @@
       await startListener({}),
       await startListener({ '/explain/r-1': first }),
     ];
-    const output = createRecordedOutput();
+    const output = createRecordingOutput();
     const at = listeners.map(({ address }) => address).join(',');
     await Explain.createExplainCommand(output).parseAsync(['r-1', '--at', at], { from: 'user' });
     listeners.forEach(({ server }) => server.close());
@@ -136,9 +136,9 @@
     ]);
   });
 
-  it('says that nobody knows the request and exits with 1', async () => {
+  it('reports that no router knows the request and exits with 1', async () => {
     const { server, address } = await startListener({});
-    const output = createRecordedOutput();
+    const output = createRecordingOutput();
     await Explain.createExplainCommand(output).parseAsync(['r-2', '--at', address], {
       from: 'user',
     });
--- a/packages/sequoiarill/src/commands/commandOutput.ts
+++ b/packages/sequoiarill/src/commands/commandOutput.ts
@@ -1,4 +1,4 @@
-/** Where a command writes and how it tells its shell of a failure; tests pass their own. */
+/** Output streams and exit code of a command; replaceable in tests. */
 
 export interface CommandOutput {
   readonly print: (text: string) => void;
--- a/packages/sequoiarill/src/commands/config.ts
+++ b/packages/sequoiarill/src/commands/config.ts
@@ -1,4 +1,7 @@
-/** `sequoiarill config`: operators edit their sections of the configuration document. */
+/**
+ * The `sequoiarill config` commands, with which operators edit sections of the configuration
+ * document.
+ */
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
 import path from 'node:path';
@@ -24,7 +27,7 @@
   readonly author?: string;
 }
 
-/** A user id without a name, as some machines have, is no reason to refuse an edit. */
+/** Falls back to `unknown`, since the user id has no name on some machines. */
 function getAuthor(options: SectionOptions): string {
   if (options.author !== undefined) return options.author;
   try {
@@ -46,15 +49,15 @@
   throw new Commander.InvalidArgumentError(parsed.error.issues[0]?.message ?? 'bad name');
 }
 
-/** Runs one command against the platform and closes the connection whatever happens. */
-async function runConnected(
+/** Runs one command with an editor connected to the platform, and always closes the connection. */
+async function runWithEditor(
   options: CommonOptions,
   author: string,
   run: (editor: Platform.DocumentEditor) => Promise<CommandResult>,
 ): Promise<CommandResult> {
   const connection = ConfigConnection.openConnection(options);
   if (connection.kind === 'faults') {
-    return ConfigOutput.reportProblem(connection.lines.join('\n'));
+    return ConfigOutput.reportRefusal(connection.lines.join('\n'));
   }
   const editor = Platform.createDocumentEditor({
     store: connection.store,
@@ -69,7 +72,7 @@
   }
 }
 
-/** Reads a file named on the command line; a dash means standard input. */
+/** Reads a file, or standard input if the name is `-`; undefined if it cannot be read. */
 function readText(file: string): string | undefined {
   try {
     return readFileSync(file === '-' ? 0 : file, 'utf8');
@@ -85,7 +88,7 @@
   if (options.platform === undefined && options.settings === undefined) {
     return ConfigOutput.reportCheck(Platform.checkAlone(text, file, section), 'alone');
   }
-  return runConnected(options, '', async (editor) => {
+  return runWithEditor(options, '', async (editor) => {
     const outcome = await editor.checkSection({ section, text, file });
     if (outcome.kind === 'unavailable') return ConfigOutput.reportEdit(section, outcome);
     return ConfigOutput.reportCheck(outcome.faults, 'document');
@@ -93,7 +96,7 @@
 }
 
 function runGet(options: SectionOptions): Promise<CommandResult> {
-  return runConnected(options, '', async (editor) => {
+  return runWithEditor(options, '', async (editor) => {
     const document = await editor.readDocument();
     if (document.kind === 'unavailable') return ConfigOutput.reportEdit(options.section, document);
     return ConfigOutput.reportSection(options.section, document.sections.get(options.section));
@@ -109,7 +112,7 @@
   if (text === undefined) return ConfigOutput.reportUnreadable(file);
   const { section, ifRevision } = options;
   const condition = ifRevision === undefined ? {} : { ifRevision };
-  return runConnected(options, getAuthor(options), async (editor) => {
+  return runWithEditor(options, getAuthor(options), async (editor) => {
     const outcome = await editor.putSection({ section, text, file, ...condition });
     return ConfigOutput.reportEdit(section, outcome);
   });
@@ -118,7 +121,7 @@
 async function runDiff(file: string, options: SectionOptions): Promise<CommandResult> {
   const text = readText(file);
   if (text === undefined) return ConfigOutput.reportUnreadable(file);
-  return runConnected(options, '', async (editor) => {
+  return runWithEditor(options, '', async (editor) => {
     const document = await editor.readDocument();
     if (document.kind === 'unavailable') return ConfigOutput.reportEdit(options.section, document);
     const stored = Platform.getSection(document, options.section);
@@ -128,7 +131,7 @@
 }
 
 function runHistory(options: SectionOptions): Promise<CommandResult> {
-  return runConnected(options, '', async (editor) =>
+  return runWithEditor(options, '', async (editor) =>
     ConfigOutput.reportHistory(options.section, await editor.listHistory(options.section)),
   );
 }
@@ -139,11 +142,11 @@
 
 function runRevert(options: RevertOptions): Promise<CommandResult> {
   const { section, to } = options;
-  return runConnected(options, getAuthor(options), async (editor) => {
+  return runWithEditor(options, getAuthor(options), async (editor) => {
     const outcome = await editor.revertSection(section, to);
     if (outcome.kind !== 'noSuchRevision') return ConfigOutput.reportEdit(section, outcome);
     const hint = `see "sequoiarill config history --section ${section}"`;
-    return ConfigOutput.reportProblem(`[${section}] has no revision ${to} in its history; ${hint}`);
+    return ConfigOutput.reportRefusal(`[${section}] has no revision ${to} in its history; ${hint}`);
   });
 }
 
@@ -154,7 +157,7 @@
 
 function runStatus(options: StatusOptions): Promise<CommandResult> {
   const addresses = options.at === undefined ? [] : options.at.split(',');
-  return runConnected(options, '', async (editor) => {
+  return runWithEditor(options, '', async (editor) => {
     const document = await editor.readDocument();
     if (document.kind === 'unavailable') return ConfigOutput.reportEdit('', document);
     const token = OperatorsClient.loadToken(options.tokenFile);
@@ -173,7 +176,10 @@
 
 function addConnectionOptions(command: Commander.Command): Commander.Command {
   return command
-    .option('--platform <ip:port>', 'gateway of the key-value service; several with commas')
+    .option(
+      '--platform <ip:port>',
+      'gateway of the key-value service; separate several with commas',
+    )
     .option('--key-prefix <prefix>', 'prefix of all keys', ConfigConnection.DEFAULT_KEY_PREFIX)
     .option('--settings <file>', "a router's settings file; its [platform] section is used")
     .option('--json', 'print JSON');
@@ -188,35 +194,39 @@
 }
 
 function addAuthorOption(command: Commander.Command): Commander.Command {
-  return command.option('--author <name>', 'who is shown in the history; the user by default');
+  return command.option(
+    '--author <name>',
+    'author recorded in the history; defaults to the current user',
+  );
 }
 
-type Run<Options> = (options: Options) => Promise<CommandResult>;
-type RunWithFile<Options> = (file: string, options: Options) => Promise<CommandResult>;
+type CommandFunction<Options> = (options: Options) => Promise<CommandResult>;
+type FileCommandFunction<Options> = (file: string, options: Options) => Promise<CommandResult>;
 
-/** Prints what a command without arguments decided. */
+/** Creates the action of a command without arguments, which prints the result. */
 function createAction<Options extends CommonOptions>(
   output: Outputs.CommandOutput,
-  run: Run<Options>,
+  run: CommandFunction<Options>,
 ) {
   return async (options: Options) =>
     ConfigOutput.printResult(output, await run(options), options.json);
 }
 
+/** Creates the action of a command with a file argument, which prints the result. */
 function createFileAction<Options extends CommonOptions>(
   output: Outputs.CommandOutput,
-  run: RunWithFile<Options>,
+  run: FileCommandFunction<Options>,
 ) {
   return async (file: string, options: Options) =>
     ConfigOutput.printResult(output, await run(file, options), options.json);
 }
 
-function addReadingCommands(config: Commander.Command, output: Outputs.CommandOutput): void {
+function addReadCommands(config: Commander.Command, output: Outputs.CommandOutput): void {
   addConnectionOptions(config.command('check <file>'))
-    .description('check a section; against the whole document when a platform is named')
+    .description('validate a section; with a platform given, also against the other sections')
     .option(
       '--section <name>',
-      'name of the section; that of the file by default',
+      'name of the section; defaults to the file name without its extension',
       parseSectionName,
     )
     .action(createFileAction(output, runCheck));
@@ -224,42 +234,46 @@
     .description('print a section')
     .action(createAction(output, runGet));
   addSectionOption(config.command('diff <file>'))
-    .description('show what putting the file would change')
+    .description('show the changes that "config put" of the file would make')
     .action(createFileAction(output, runDiff));
   addSectionOption(config.command('history'))
-    .description('list the accepted texts of a section')
+    .description('list the accepted revisions of a section')
     .action(createAction(output, runHistory));
   addConnectionOptions(config.command('status'))
-    .description('show the revision of every section, and which routers lag')
-    .option('--at <addresses>', "IP:PORT of routers' listeners for operators, with commas")
-    .option('--token-file <file>', 'file that holds the token of the listeners')
+    .description('show the revision of every section, and the routers that lag behind')
+    .option('--at <addresses>', 'IP:PORT of the operator listeners of routers, separated by commas')
+    .option('--token-file <file>', 'file that contains the token of the listeners')
     .action(createAction(output, runStatus));
 }
 
-function addWritingCommands(config: Commander.Command, output: Outputs.CommandOutput): void {
+function addWriteCommands(config: Commander.Command, output: Outputs.CommandOutput): void {
   addAuthorOption(addSectionOption(config.command('put <file>')))
-    .description('check a section and write it by compare-and-swap')
-    .option('--if-revision <revision>', 'write only over this revision', parseRevision)
+    .description('validate a section and write it with compare-and-swap')
+    .option(
+      '--if-revision <revision>',
+      'write only if the section has this revision',
+      parseRevision,
+    )
     .action(createFileAction(output, runPut));
   addAuthorOption(addSectionOption(config.command('revert')))
-    .description('write an earlier text as a new revision')
-    .requiredOption('--to <revision>', 'revision of the earlier text', parseRevision)
+    .description('restore an earlier revision as a new one')
+    .requiredOption('--to <revision>', 'revision to restore', parseRevision)
     .action(createAction(output, runRevert));
   config
     .command('key')
-    .description('make an API key; the secret is shown this once')
-    .requiredOption('--organisation <name>', 'organisation it is for')
+    .description('create an API key; its secret is shown only once')
+    .requiredOption('--organisation <name>', 'organisation that the key is for')
     .option('--json', 'print JSON')
     .action(createAction(output, runKey));
 }
 
-/** The `config` commands; tests give an output of their own. */
+/** Creates the `config` commands; tests pass their own output. */
 export function createConfigCommand(
   output: Outputs.CommandOutput = Outputs.createProcessOutput(),
 ): Commander.Command {
   const config = new Commander.Command('config');
   config.description('edit sections of the configuration document');
-  addReadingCommands(config, output);
-  addWritingCommands(config, output);
+  addReadCommands(config, output);
+  addWriteCommands(config, output);
   return config;
 }
--- a/packages/sequoiarill/src/commands/configConnection.ts
+++ b/packages/sequoiarill/src/commands/configConnection.ts
@@ -1,4 +1,6 @@
-/** Connects the command line to the platform, by address or by a router's settings file. */
+/**
+ * Connects the command line to the platform, by its address or with the settings file of a router.
+ */
 import { readFileSync } from 'node:fs';
 
 import * as Kernel from '@sequoiarill/kernel';
@@ -21,10 +23,12 @@
   | { readonly kind: 'faults'; readonly lines: readonly string[] };
 
 export const DEFAULT_KEY_PREFIX = '/sequoiarill/';
-const LOCATION_HINT = 'name the platform: --platform IP:PORT or --settings FILE';
+const PLATFORM_HINT = 'name the platform: --platform IP:PORT or --settings FILE';
 
-/** Stands for a section of another plug-in, which this command has no opinion on. */
-function createPassThrough(name: string): Plugin {
+/**
+ * Creates a placeholder for another plug-in, so that its settings section is accepted unchecked.
+ */
+function createPassThroughPlugin(name: string): Plugin {
   return {
     name,
     settingsSchema: Zod.unknown(),
@@ -40,16 +44,16 @@
   try {
     text = readFileSync(file, 'utf8');
   } catch {
-    return { kind: 'faults', lines: [`${file}: can't be read; check its name and rights`] };
+    return { kind: 'faults', lines: [`${file}: cannot be read; check its name and permissions`] };
   }
   const platform = Platform.platformPlugin as Plugin;
-  const first = Kernel.parseSettings(text, file, [platform]);
-  const faults = first.kind === 'faults' ? first.faults : [];
-  const others = faults.filter(
+  const firstResult = Kernel.parseSettings(text, file, [platform]);
+  const faults = firstResult.kind === 'faults' ? firstResult.faults : [];
+  const unknownSections = faults.filter(
     ({ key, reason }) => key === '' && reason.startsWith('unknown section'),
   );
-  const passThroughs = others.map(({ section }) => createPassThrough(section));
-  const result = Kernel.parseSettings(text, file, [platform, ...passThroughs]);
+  const passThroughPlugins = unknownSections.map(({ section }) => createPassThroughPlugin(section));
+  const result = Kernel.parseSettings(text, file, [platform, ...passThroughPlugins]);
   if (result.kind === 'faults') {
     return { kind: 'faults', lines: result.faults.map(Kernel.formatFault) };
   }
@@ -60,7 +64,7 @@
 function parseOptions(options: ConnectionOptions): SettingsOutcome {
   const { platform, keyPrefix = DEFAULT_KEY_PREFIX, settings } = options;
   if (settings !== undefined) return loadFile(settings);
-  if (platform === undefined) return { kind: 'faults', lines: [LOCATION_HINT] };
+  if (platform === undefined) return { kind: 'faults', lines: [PLATFORM_HINT] };
   const parsed = Platform.platformSchema.safeParse({ endpoints: platform, keyPrefix });
   if (parsed.success) return { kind: 'settings', settings: parsed.data };
   const lines = parsed.error.issues.map(({ message }) => `--platform: ${message}`);
@@ -70,6 +74,6 @@
 export function openConnection(options: ConnectionOptions): Connection {
   const outcome = parseOptions(options);
   if (outcome.kind === 'faults') return outcome;
-  const silent = { addCount: () => undefined, recordTiming: () => undefined };
-  return { kind: 'open', ...Platform.openPlatform(outcome.settings, silent) };
+  const noopMetrics = { addCount: () => undefined, recordTiming: () => undefined };
+  return { kind: 'open', ...Platform.openPlatform(outcome.settings, noopMetrics) };
 }
--- a/packages/sequoiarill/src/commands/configOutput.ts
+++ b/packages/sequoiarill/src/commands/configOutput.ts
@@ -1,11 +1,11 @@
-/** What the `config` commands print, for people or as JSON, and how they exit. */
+/** Output of the `config` commands, as text or JSON, and their exit codes. */
 import type * as Kernel from '@sequoiarill/kernel';
 import * as Platform from '@sequoiarill/plugin-platform';
 
 import type { CommandOutput } from './commandOutput';
 
 export interface CommandResult {
-  /** 0: done. 1: refused, mend and try again. 2: the platform did not decide it. */
+  /** 0: success. 1: refused; correct the input and retry. 2: the platform gave no result. */
   readonly exitCode: 0 | 1 | 2;
   readonly text: string;
   readonly json: unknown;
@@ -19,12 +19,12 @@
   else output.printError(text);
 }
 
-export function reportProblem(message: string): CommandResult {
+export function reportRefusal(message: string): CommandResult {
   return { exitCode: 1, text: message, json: { kind: 'refused', message } };
 }
 
 export function reportUnreadable(file: string): CommandResult {
-  return reportProblem(`${file}: can't be read; check its name and rights`);
+  return reportRefusal(`${file}: cannot be read; check its name and permissions`);
 }
 
 export function reportCheck(
@@ -32,7 +32,7 @@
   scope: 'alone' | 'document',
 ): CommandResult {
   if (faults.length > 0) return reportFaults(faults);
-  const hint = scope === 'alone' ? '; name a --platform to check it with the other sections' : '';
+  const hint = scope === 'alone' ? '; use --platform to check it against the other sections' : '';
   return { exitCode: 0, text: `no faults${hint}`, json: { kind: 'checked', scope, faults: [] } };
 }
 
@@ -55,10 +55,11 @@
   outcome: Extract<Platform.EditOutcome, { readonly kind: 'conflict' }>,
 ): CommandResult {
   const { revision, author, differences } = outcome;
-  const by = author === '' ? '' : ` by ${author}`;
-  const head = `[${section}] was changed meanwhile${by} (now revision ${revision}); nothing was written.`;
-  const advice = 'From what is stored to your text; take in what you miss and put it again:';
-  const lines = [head, advice, ...differences.map(Platform.formatDifference)];
+  const changedBy = author === '' ? '' : ` by ${author}`;
+  const summary = `[${section}] was changed meanwhile${changedBy} (now revision ${revision}); nothing was written.`;
+  const advice =
+    'Differences from the stored text to yours; merge them and run "config put" again:';
+  const lines = [summary, advice, ...differences.map(Platform.formatDifference)];
   return { exitCode: 1, text: lines.join('\n'), json: outcome };
 }
 
@@ -69,7 +70,7 @@
     case 'unchanged':
       return {
         exitCode: 0,
-        text: `[${section}] has this text already, since revision ${outcome.revision}`,
+        text: `[${section}] already has this text since revision ${outcome.revision}`,
         json: outcome,
       };
     case 'faults':
@@ -83,11 +84,11 @@
       return { exitCode: 2, text, json: outcome };
     }
     case 'unknown': {
-      const text = `it is not known whether [${section}] was written: ${outcome.message}`;
+      const text = `it is unknown whether [${section}] was written: ${outcome.message}`;
       return { exitCode: 2, text, json: outcome };
     }
     default:
-      throw new Error('an outcome that is not known');
+      throw new Error('unexpected outcome of an edit');
   }
 }
 
@@ -96,7 +97,7 @@
   stored: Platform.StoredState | undefined,
 ): CommandResult {
   if (stored === undefined) {
-    return reportProblem(`[${section}] does not exist; "config put" makes it`);
+    return reportRefusal(`[${section}] does not exist; create it with "config put"`);
   }
   const { revision, author, at, text } = stored;
   return { exitCode: 0, text, json: { kind: 'section', section, revision, author, at, text } };
@@ -107,7 +108,7 @@
   history: readonly Platform.HistoryEntry[] | undefined,
 ): CommandResult {
   if (history === undefined) {
-    const message = 'the history was not read';
+    const message = 'the history could not be read';
     return reportEdit(section, { kind: 'unavailable', message });
   }
   const entries = history.map(({ revision, at, author, text }) => ({
@@ -126,9 +127,9 @@
 export function reportKey(organisation: string, key: Kernel.NewKey): CommandResult {
   const record = JSON.stringify(key.record);
   const lines = [
-    `API key of ${organisation}, shown this once:`,
+    `API key of ${organisation}, shown only once:`,
     `  ${key.presented}`,
-    `Add this to organisations.${organisation}.keys in its section:`,
+    `Add this to organisations.${organisation}.keys in its configuration section:`,
     `  ${record}`,
   ];
   const json = { kind: 'key', organisation, ...key };
--- a/packages/sequoiarill/src/commands/configStatus.ts
+++ b/packages/sequoiarill/src/commands/configStatus.ts
@@ -1,10 +1,10 @@
-/** `config status`: the revision of each section in the platform, and which routers lag behind it. */
+/** `config status`: the stored revision of each section, and the routers that lag behind it. */
 import type { StoredDocument } from '@sequoiarill/plugin-platform';
 
 import type { CommandResult } from './configOutput';
 import * as OperatorsClient from './operatorsClient';
 
-/** What a router that is asked shows of its configuration. */
+/** The configuration state that a router reports at `/state/platform`. */
 interface RouterState {
   readonly configuration: {
     readonly revision: number;
@@ -13,13 +13,13 @@
   };
 }
 
-/** A section that a router has in an older revision than the platform. */
+/** A section of which a router has an older revision than the platform. */
 export interface LaggingSection {
   readonly name: string;
   readonly revision: number;
-  /** When the newer text was accepted, ISO 8601. */
+  /** When the newer revision was accepted, in ISO 8601 format. */
   readonly since: string;
-  /** The router has seen the newer text and refuses it for its faults. */
+  /** Whether the router received the newer revision and rejected it as invalid. */
   readonly isRefused: boolean;
 }
 
@@ -32,19 +32,22 @@
     }
   | { readonly kind: 'silent'; readonly address: string; readonly message: string };
 
-/** Compared section by section: a router's own revision also counts changes of the VM list. */
-export function listLagging(
+/**
+ * Compares section by section, since the overall revision of a router also covers changes of the VM
+ * list.
+ */
+export function listLaggingSections(
   document: StoredDocument,
   state: RouterState,
 ): readonly LaggingSection[] {
   const { sections, refused } = state.configuration;
-  const held = new Map(sections.map(({ name, revision }) => [name, revision]));
+  const heldRevisions = new Map(sections.map(({ name, revision }) => [name, revision]));
   const refusedNames = new Set(refused.map(({ name }) => name));
   return [...document.sections]
-    .map(([name, { revision, at }]) => ({ name, stored: revision, since: at }))
-    .filter(({ name, stored }) => (held.get(name) ?? 0) < stored)
+    .map(([name, { revision, at }]) => ({ name, storedRevision: revision, since: at }))
+    .filter(({ name, storedRevision }) => (heldRevisions.get(name) ?? 0) < storedRevision)
     .map(({ name, since }) => {
-      const revision = held.get(name) ?? 0;
+      const revision = heldRevisions.get(name) ?? 0;
       return { name, revision, since, isRefused: refusedNames.has(name) };
     });
 }
@@ -57,7 +60,7 @@
   const outcome = await OperatorsClient.callOperators(address, '/state/platform', token);
   if (outcome.kind !== 'answer') return { kind: 'silent', address, message: outcome.message };
   const state = outcome.body as RouterState;
-  const lagging = listLagging(document, state);
+  const lagging = listLaggingSections(document, state);
   return { kind: 'router', address, revision: state.configuration.revision, lagging };
 }
 
@@ -74,13 +77,16 @@
   const { address, revision, lagging } = router;
   if (lagging.length === 0) return `${address}: revision ${revision}, up to date`;
   const parts = lagging.map((section) => {
-    const reason = section.isRefused ? 'refused for its faults' : 'lags';
+    const reason = section.isRefused ? 'refused as invalid' : 'lags';
     return `[${section.name}] at ${section.revision} ${reason} since ${section.since}`;
   });
   return `${address}: revision ${revision}; ${parts.join('; ')}`;
 }
 
-/** Exit code 1 when a router lags or does not answer, so that a script can wait for a change. */
+/**
+ * Exits with 1 if a router lags or does not respond, so that a script can wait until all routers
+ * use a change.
+ */
 export function reportStatus(
   document: StoredDocument,
   routers: readonly RouterStatus[],
--- a/packages/sequoiarill/src/commands/explain.ts
+++ b/packages/sequoiarill/src/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `sequoiarill explain`: what was decided for one request, when and why. */
+/** `sequoiarill explain`: the decisions made for one request, with their times and reasons. */
 import type { DecisionEntry } from '@sequoiarill/types';
 import * as Commander from 'commander';
 
@@ -11,7 +11,7 @@
   readonly tokenFile?: string;
 }
 
-/** What one process knows of the request. */
+/** The decisions that one process recorded for the request. */
 export interface Explanation {
   readonly requestId: string;
   readonly process: string;
@@ -22,11 +22,11 @@
   output: Outputs.CommandOutput = Outputs.createProcessOutput(),
 ): Commander.Command {
   return new Commander.Command('explain')
-    .description('show what was decided for a request, when and why')
-    .argument('<request-id>', 'id of the request, as in the answer and the logs')
+    .description('show the decisions made for a request, with times and reasons')
+    .argument('<request-id>', 'id of the request, as in the response and the logs')
     .requiredOption('--at <addresses>', 'IP:PORT of one or more listeners, separated by commas')
     .option('--json', 'print JSON instead of a timeline')
-    .option('--token-file <file>', 'file that holds the token of the listeners')
+    .option('--token-file <file>', 'file that contains the token of the listeners')
     .action((requestId: string, options: ExplainOptions) =>
       printExplanations(requestId, options, output),
     );
@@ -43,18 +43,20 @@
   const outcomes = await Promise.all(
     addresses.map((address) => OperatorsClient.callOperators(address, path, token)),
   );
-  const found = outcomes.flatMap((outcome) =>
+  const explanations = outcomes.flatMap((outcome) =>
     outcome.kind === 'answer' ? [outcome.body as Explanation] : [],
   );
   const failures = outcomes.filter((outcome) => outcome.kind === 'failure');
   failures.forEach((failure) => output.printError(failure.message));
-  if (found.length === 0 && failures.length === 0) {
+  if (explanations.length === 0 && failures.length === 0) {
     output.printError(`none of ${addresses.join(', ')} knows request "${requestId}"`);
   }
-  // A router that could not be asked may hold a part of the story.
-  if (found.length === 0 || failures.length > 0) output.setExitCode(1);
-  if (found.length === 0) return;
-  const sorted = [...found].sort((left, right) => compareText(getStart(left), getStart(right)));
+  // A router that did not respond may have further decisions, so the result is incomplete.
+  if (explanations.length === 0 || failures.length > 0) output.setExitCode(1);
+  if (explanations.length === 0) return;
+  const sorted = [...explanations].sort((left, right) =>
+    compareText(getStartTime(left), getStartTime(right)),
+  );
   output.print(
     options.json
       ? JSON.stringify(sorted, undefined, 2)
@@ -62,27 +64,29 @@
   );
 }
 
-/** One line a decision; times count from the first one of this process. */
+/** Formats one line per decision; times are relative to the first decision of the process. */
 export function formatExplanation(explanation: Explanation): string {
   const { requestId, process: name, entries } = explanation;
-  const times = entries.map((entry) => `${entry.elapsedMs} ms`);
-  const timeWidth = Math.max(0, ...times.map((time) => time.length));
+  const elapsedTimes = entries.map((entry) => `${entry.elapsedMs} ms`);
+  const timeWidth = Math.max(0, ...elapsedTimes.map((time) => time.length));
   const kindWidth = Math.max(0, ...entries.map((entry) => entry.kind.length));
-  const margin = ' '.repeat(timeWidth + kindWidth + 6);
+  const detailIndent = ' '.repeat(timeWidth + kindWidth + 6);
   const lines = entries.flatMap((entry, index) => {
-    const time = (times[index] ?? '').padStart(timeWidth);
+    const time = (elapsedTimes[index] ?? '').padStart(timeWidth);
     const line = `  ${time}  ${entry.kind.padEnd(kindWidth)}  ${entry.reason}`;
     const details = Object.entries(entry.details).map(([key, value]) => formatDetail(key, value));
-    return details.length === 0 ? [line] : [line, `${margin}${details.join(', ')}`];
+    return details.length === 0 ? [line] : [line, `${detailIndent}${details.join(', ')}`];
   });
-  return [`request ${requestId} at ${name}, from ${getStart(explanation)}`, ...lines].join('\n');
+  return [`request ${requestId} at ${name}, from ${getStartTime(explanation)}`, ...lines].join(
+    '\n',
+  );
 }
 
 function formatDetail(name: string, value: unknown): string {
   return `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`;
 }
 
-function getStart(explanation: Explanation): string {
+function getStartTime(explanation: Explanation): string {
   return explanation.entries[0]?.at ?? '';
 }
 
--- a/packages/sequoiarill/src/commands/operatorsClient.ts
+++ b/packages/sequoiarill/src/commands/operatorsClient.ts
@@ -1,14 +1,14 @@
-/** Calls the operators' listener of one process. */
+/** HTTP client for the operator listener of a process. */
 import { readFileSync } from 'node:fs';
 
 import * as Undici from 'undici';
 
-/** A process that takes longer to show its state is as good as away for an operator. */
+/** A process that takes longer to report its state counts as unreachable. */
 const CALL_TIMEOUT_MS = 5_000;
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 
-export interface OperatorsAnswer {
+export interface OperatorsResponse {
   readonly kind: 'answer';
   readonly body: unknown;
 }
@@ -18,13 +18,13 @@
   readonly message: string;
 }
 
-/** The process could not be asked, or refused. */
+/** The process could not be reached, or it refused the request. */
 export interface OperatorsFailure {
   readonly kind: 'failure';
   readonly message: string;
 }
 
-export type OperatorsOutcome = OperatorsAnswer | OperatorsNotFound | OperatorsFailure;
+export type OperatorsOutcome = OperatorsResponse | OperatorsNotFound | OperatorsFailure;
 
 interface ErrorBody {
   readonly error?: { readonly message?: string };
@@ -44,16 +44,17 @@
     });
     const body = await response.body.json();
     if (response.statusCode === HTTP_OK) return { kind: 'answer', body };
-    const message = (body as ErrorBody).error?.message ?? `answered ${response.statusCode}`;
+    const message =
+      (body as ErrorBody).error?.message ?? `responded with status ${response.statusCode}`;
     if (response.statusCode === HTTP_NOT_FOUND) return { kind: 'notFound', message };
     return { kind: 'failure', message: `${address}: ${message}` };
   } catch (error) {
-    const hint = 'check --at against `listen` in section [operators] of its settings';
-    return { kind: 'failure', message: `cannot ask ${address}: ${formatCause(error)}; ${hint}` };
+    const hint = 'check that --at matches `listen` in the [operators] section of its settings';
+    return { kind: 'failure', message: `cannot reach ${address}: ${formatCause(error)}; ${hint}` };
   }
 }
 
-/** Reads a token from a file, so that it shows in no process list. */
+/** Reads the token from a file, so that it does not appear in the process list. */
 export function loadToken(file: string | undefined): string | undefined {
   return file === undefined ? undefined : readFileSync(file, 'utf8').trim();
 }
--- a/packages/sequoiarill/src/commands/state.ts
+++ b/packages/sequoiarill/src/commands/state.ts
@@ -1,4 +1,4 @@
-/** `sequoiarill state`: the state of one process, for people or as JSON. */
+/** `sequoiarill state`: shows the state of one process as text or JSON. */
 import * as Commander from 'commander';
 
 import * as Outputs from './commandOutput';
@@ -16,11 +16,11 @@
   output: Outputs.CommandOutput = Outputs.createProcessOutput(),
 ): Commander.Command {
   return new Commander.Command('state')
-    .description('show what a process does and knows')
-    .requiredOption('--at <address>', "IP:PORT of the process's listener for operators")
-    .option('--plugin <name>', 'only the state of this plug-in')
+    .description('show the state of a process')
+    .requiredOption('--at <address>', 'IP:PORT of the operator listener of the process')
+    .option('--plugin <name>', 'show only the state of this plug-in')
     .option('--json', 'print JSON instead of aligned text')
-    .option('--token-file <file>', 'file that holds the token of the listener')
+    .option('--token-file <file>', 'file that contains the token of the listener')
     .action((options: StateOptions) => printState(options, output));
 }
 
--- a/packages/sequoiarill/src/commands/stateText.ts
+++ b/packages/sequoiarill/src/commands/stateText.ts
@@ -1,10 +1,10 @@
-/** A state dump as text for a terminal: indented, with aligned values. */
+/** Formats a state dump for a terminal, indented and with aligned values. */
 
 const INDENT = '  ';
-/** Short values of a list stand in one line up to this width. */
-const LINE_WIDTH = 100;
+/** A list is printed on one line if it fits into this width. */
+const MAX_LINE_WIDTH = 100;
 
-/** Formats any value of a dump; `level` is how deep it stands. */
+/** Formats any value of a dump; `level` is its nesting depth. */
 export function formatState(value: unknown, level = 0): string {
   return formatLines(value, level).join('\n');
 }
@@ -48,7 +48,7 @@
     if (value.length === 0) return 'none';
     if (value.some((item) => typeof item === 'object' && item !== null)) return undefined;
     const line = value.map(formatScalar).join(', ');
-    return line.length <= LINE_WIDTH ? line : undefined;
+    return line.length <= MAX_LINE_WIDTH ? line : undefined;
   }
   if (isRecord(value)) return Object.keys(value).length === 0 ? 'none' : undefined;
   return formatScalar(value);
@@ -59,7 +59,7 @@
   const fields = Object.entries(value).map(([name, field]) => [name, formatInline(field)] as const);
   if (fields.some(([, field]) => field === undefined)) return undefined;
   const line = fields.map(([name, field]) => `${name} ${field}`).join(', ');
-  return line.length <= LINE_WIDTH ? line : undefined;
+  return line.length <= MAX_LINE_WIDTH ? line : undefined;
 }
 
 function formatScalar(value: unknown): string {
--- a/packages/sequoiarill/src/main.ts
+++ b/packages/sequoiarill/src/main.ts
@@ -1,4 +1,4 @@
-/** Entry of the `sequoiarill` command. */
+/** Entry point of the `sequoiarill` command. */
 import * as Cli from './cli';
 
 Cli.createProgram()
--- a/packages/sequoiarill/src/plugins.ts
+++ b/packages/sequoiarill/src/plugins.ts
@@ -1,4 +1,4 @@
-/** Imports every plug-in of a router, each of which registers itself with the kernel. */
+/** Imports all plug-ins of a router; each registers itself with the kernel on import. */
 import '@sequoiarill/plugin-callers';
 import '@sequoiarill/plugin-generations';
 import '@sequoiarill/plugin-membership';
--- a/packages/sequoiarill/src/router.ts
+++ b/packages/sequoiarill/src/router.ts
@@ -1,4 +1,4 @@
-/** The router daemon: a kernel with every plug-in, started from one settings file. */
+/** The router daemon: a kernel with all plug-ins, configured by one settings file. */
 import { readFileSync } from 'node:fs';
 
 import * as Kernel from '@sequoiarill/kernel';
@@ -6,12 +6,12 @@
 
 import './plugins';
 
-/** Time for the work in progress at a planned stop; generations run for minutes. */
+/** Maximum drain time of a planned stop; generations can run for minutes. */
 export const DRAIN_LIMIT_MS = 600_000;
 
 export interface Router {
   readonly kernel: RunningKernel;
-  /** Takes no new work, waits for the work in progress, then stops. Safe to call twice. */
+  /** Stops accepting work, waits for the work in progress, then stops. Idempotent. */
   readonly stop: (drainLimitMs?: number) => Promise<void>;
 }
 
@@ -23,7 +23,7 @@
   return Kernel.parseSettings(text, file, Kernel.listPlugins());
 }
 
-/** Starts a router; rejects with a plain message if a plug-in can't start. */
+/** Starts a router; rejects if a plug-in fails to start, after stopping the others. */
 export async function startRouter(settings: Kernel.Settings): Promise<Router> {
   let stopping: Promise<void> | undefined;
   const kernel = Kernel.createKernel({
