--- a/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/stallTimer.test.ts
@@ -35,7 +35,7 @@
           nowMs += CLOCK_STEP_MS;
           getRunningMs();
           mock.timers.tick(CLOCK_STEP_MS);
-          await new Promise<void>(Kernel.delayPastReads);
+          await new Promise<void>(Kernel.runAfterPendingReads);
         }
       },
       simulatePause(ms) {
--- a/packages/sequoiarill-plugin-generations/src/stallTimer.ts
+++ b/packages/sequoiarill-plugin-generations/src/stallTimer.ts
@@ -33,7 +33,7 @@
     timer = undefined;
     if (waitingUntilMs === undefined) return;
     if (getRunningMs() < waitingUntilMs) setTimer(waitingUntilMs);
-    else Kernel.delayPastReads(checkStall);
+    else Kernel.runAfterPendingReads(checkStall);
   }
 
   /** Reports a stall unless data that had already arrived was read in the meantime. */
--- a/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/configurationState.test.ts
@@ -180,7 +180,7 @@
       readerBeat: 5,
       revision: 31,
     });
-    clock.delay(3_000);
+    clock.simulatePause(3_000);
     announcements.confirmRevision(7, 32);
     expect(announcements.getAnnouncement()).toEqual({
       readerFence: 10,
--- a/packages/sequoiarill-plugin-platform/src/__tests__/leaderElection.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/leaderElection.test.ts
@@ -63,7 +63,7 @@
     await first.acquireLeadership();
     const firstFencingNumber = first.getFencingNumber();
     const renewals = first.runRenewals(new AbortController().signal);
-    clock.delay(10_000);
+    clock.simulatePause(10_000);
     expect(first.isLeader()).toEqual(false);
     expect(first.getFencingNumber()).toEqual(0);
     expect((await second.acquireLeadership()).kind).toEqual('held');
