--- a/packages/sequoiarill-standins/src/service/__tests__/service.test.ts
+++ b/packages/sequoiarill-standins/src/service/__tests__/service.test.ts
@@ -58,7 +58,7 @@
     await service.setFault({ kind: 'pause' });
     const controller = new AbortController();
     const call = fetch(url, { method: 'POST', body: '{}', signal: controller.signal });
-    await Calls.waitUntil(() => service.getWaiting() === 1);
+    await Calls.waitUntil(() => service.countWaiting() === 1);
     controller.abort();
     await expect(call).toBeRejected();
     expect(service.getCounters().total).toEqual(0);
--- a/packages/sequoiarill-standins/src/service/service.ts
+++ b/packages/sequoiarill-standins/src/service/service.ts
@@ -16,7 +16,7 @@
   readonly setFault: (fault: ServiceFault) => Promise<void>;
   readonly getCounters: () => Runs.ServiceCounters;
   /** Calls received and not yet run, since the service is paused. */
-  readonly getWaiting: () => number;
+  readonly countWaiting: () => number;
 }
 
 export function createServiceStandin(input: Settings.ServiceSettingsInput = {}): ServiceStandin {
@@ -104,7 +104,7 @@
     stop,
     setFault,
     getCounters: runs.getCounters,
-    getWaiting: () => waiting,
+    countWaiting: () => waiting,
   };
 }
 
--- a/packages/sequoiarill-standins/src/userPlatform/targetStandin.ts
+++ b/packages/sequoiarill-standins/src/userPlatform/targetStandin.ts
@@ -47,13 +47,13 @@
   readonly stop: () => Promise<void>;
   readonly setFault: (fault: TargetFault) => void;
   /** Requests a second that it names in its answers; undefined: none. */
-  readonly setNamedLimit: (perSecond: number | undefined) => void;
+  readonly setAnnouncedLimit: (perSecond: number | undefined) => void;
   /** In the order in which they were begun. */
   readonly listRuns: () => readonly TargetRun[];
   /** Headers of all requests, also of those that were not run. */
   readonly listHeaders: () => readonly IncomingHttpHeaders[];
   /** Requests that it works on now. */
-  readonly countOpen: () => number;
+  readonly countInFlight: () => number;
 }
 
 export const EVENT_COUNT = 12;
@@ -223,11 +223,11 @@
     setFault(next) {
       fault = next;
     },
-    setNamedLimit(perSecond) {
+    setAnnouncedLimit(perSecond) {
       namedLimit = perSecond;
     },
     listRuns: () => runs,
     listHeaders: () => seenHeaders,
-    countOpen: () => running,
+    countInFlight: () => running,
   };
 }
--- a/packages/sequoiarill-testing/src/matrix/orderCells.ts
+++ b/packages/sequoiarill-testing/src/matrix/orderCells.ts
@@ -72,7 +72,7 @@
   const service = world.services[0]!;
   await service.setFault({ kind: 'pause' });
   const answer = send();
-  await Waiting.waitUntil('the service has the order', () => service.getWaiting() === 1);
+  await Waiting.waitUntil('the service has the order', () => service.countWaiting() === 1);
   await strike();
   if (fault.releasesService) await service.setFault({ kind: 'unpause' });
   return answer;
--- a/packages/sequoiarill-testing/src/matrix/routerCells.ts
+++ b/packages/sequoiarill-testing/src/matrix/routerCells.ts
@@ -129,7 +129,7 @@
   if (hold === 'sent') {
     await service.setFault({ kind: 'pause' });
     return async () =>
-      Waiting.waitUntil('the service has the order', () => service.getWaiting() === 1);
+      Waiting.waitUntil('the service has the order', () => service.countWaiting() === 1);
   }
   await service.setFault({ kind: 'slow', ms: ANSWER_MS });
   return async () =>
--- a/soak/src/run.ts
+++ b/soak/src/run.ts
@@ -216,7 +216,7 @@
       yield { rule: 'ends', text: `router ${index}: ended with ${String(code)} after SIGTERM` };
     }
   }
-  const open = targets.reduce((sum, target) => sum + target.getLife().countOpen(), 0);
+  const open = targets.reduce((sum, target) => sum + target.getLife().countInFlight(), 0);
   if (open > 0) {
     yield { rule: 'cancelled', text: `${open} requests are still worked on at the end` };
   }
