--- a/packages/sequoiarill-demo/src/demo.ts
+++ b/packages/sequoiarill-demo/src/demo.ts
@@ -1,4 +1,4 @@
-/** The embedded default: platform, three engines, one service and one router in one process. */
+/** The embedded demo: platform, three engines, one service and one router in one process. */
 import * as Kernel from '@sequoiarill/kernel';
 import type { MetricsSender } from '@sequoiarill/kernel';
 import * as Platform from '@sequoiarill/plugin-platform';
@@ -8,17 +8,18 @@
 import * as Documents from './document';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
-const STEP_MS = 40;
+const ENGINE_STEP_MS = 40;
 const CALL_TIMEOUT_MS = 1_000;
 
 export interface DemoOptions {
-  /** `IP:port` of the router towards callers and operators. */
+  /** `IP:port` on which the router serves callers. */
   readonly callers: string;
+  /** `IP:port` on which the router serves operators. */
   readonly operators: string;
 }
 
 export interface Demo {
-  /** The organisation's API key, made for this run only. */
+  /** The organisation's API key, created for this run only. */
   readonly apiKey: string;
   readonly stop: () => Promise<void>;
 }
@@ -31,15 +32,19 @@
 export async function startDemo(options: DemoOptions): Promise<Demo> {
   const platform = Standins.createPlatformStandin();
   const engines = ZONES.map(() =>
-    Standins.createEngineStandin({ models: Documents.MODEL, stepMs: STEP_MS, checksFencing: true }),
+    Standins.createEngineStandin({
+      models: Documents.MODEL,
+      stepMs: ENGINE_STEP_MS,
+      checksFencing: true,
+    }),
   );
   const service = Standins.createServiceStandin();
   const standins: readonly Standin[] = [platform, ...engines, service];
   const [platformAddress, ...addresses] = await Promise.all(standins.map(startStandin));
   const key = Kernel.createKeyRecord();
   const document = Documents.buildDocument({
-    engines: addresses.slice(0, engines.length).map(createMember('engine')),
-    services: addresses.slice(engines.length).map(createMember('service')),
+    engines: addresses.slice(0, engines.length).map(createMemberBuilder('engine')),
+    services: addresses.slice(engines.length).map(createMemberBuilder('service')),
     keys: [key.record],
   });
   await writeDocument(platformAddress!, document);
@@ -58,7 +63,7 @@
   return address;
 }
 
-function createMember(kind: string) {
+function createMemberBuilder(kind: string) {
   return (address: string, index: number): Documents.FleetMember => ({
     name: `${kind}-${index + 1}`,
     zone: ZONES[index % ZONES.length]!,
@@ -66,11 +71,14 @@
   });
 }
 
-/** Puts the one section into an empty platform. */
+/** Writes the document as the only section of the platform, which must still be empty. */
 async function writeDocument(platformAddress: string, text: string): Promise<void> {
-  const silent: MetricsSender = Kernel.createMetrics(undefined, {});
+  const noMetrics: MetricsSender = Kernel.createMetrics(undefined, {});
   const settings = Platform.platformSchema.parse({ endpoints: platformAddress });
-  const connection = Platform.openPlatform({ ...settings, callTimeoutMs: CALL_TIMEOUT_MS }, silent);
+  const connection = Platform.openPlatform(
+    { ...settings, callTimeoutMs: CALL_TIMEOUT_MS },
+    noMetrics,
+  );
   const key = 'sections/demo';
   const outcome = await connection.store.writeTransaction({
     comparisons: [{ key, revision: 0 }],
--- a/packages/sequoiarill-demo/src/document.ts
+++ b/packages/sequoiarill-demo/src/document.ts
@@ -1,4 +1,4 @@
-/** One section of the configuration document for a small fleet of stand-ins. */
+/** Builds one section of the configuration document, for a small fleet of stand-ins. */
 import type { OrganisationKey, ResumePreference } from '@sequoiarill/types';
 
 export interface FleetMember {
@@ -7,7 +7,7 @@
   readonly address: string;
 }
 
-export interface DocumentParts {
+export interface DocumentOptions {
   readonly engines: readonly FleetMember[];
   readonly services: readonly FleetMember[];
   readonly keys: readonly OrganisationKey[];
@@ -22,11 +22,11 @@
 export const ORGANISATION = 'corner-shop';
 const DEFAULT_SLOTS = 256;
 
-/** The section's text, as an operator would write it. */
-export function buildDocument(parts: DocumentParts): string {
+/** Returns the section as JSON text, as an operator would write it. */
+export function buildDocument(options: DocumentOptions): string {
   const vms = [
-    ...parts.engines.map((engine) => [`vm-${engine.name}`, buildEngineVm(engine, parts)]),
-    ...parts.services.map((service) => [`vm-${service.name}`, buildServiceVm(service)]),
+    ...options.engines.map((engine) => [`vm-${engine.name}`, buildEngineVm(engine, options)]),
+    ...options.services.map((service) => [`vm-${service.name}`, buildServiceVm(service)]),
   ];
   const section = {
     models: { [MODEL]: { version: '1', contextTokens: 131_072, maxOutputTokens: 512 } },
@@ -34,24 +34,24 @@
       [ORGANISATION]: {
         models: [MODEL],
         services: [SERVICE],
-        keys: parts.keys,
+        keys: options.keys,
         priority: 3,
         weight: 1,
-        preference: parts.preference ?? 'resumeLatency',
+        preference: options.preference ?? 'resumeLatency',
       },
     },
-    services: { [SERVICE]: { checksIdempotencyKey: parts.checksIdempotencyKey ?? false } },
+    services: { [SERVICE]: { checksIdempotencyKey: options.checksIdempotencyKey ?? false } },
     vms: Object.fromEntries(vms) as unknown,
   };
   return JSON.stringify(section, undefined, 2);
 }
 
-function buildEngineVm(engine: FleetMember, parts: DocumentParts): unknown {
+function buildEngineVm(engine: FleetMember, options: DocumentOptions): unknown {
   const target = {
     address: engine.address,
     models: [MODEL],
-    slots: parts.slots ?? DEFAULT_SLOTS,
-    checksFencing: parts.checksFencing ?? true,
+    slots: options.slots ?? DEFAULT_SLOTS,
+    checksFencing: options.checksFencing ?? true,
   };
   return { zone: engine.zone, engines: { [engine.name]: target } };
 }
--- a/packages/sequoiarill-demo/src/index.ts
+++ b/packages/sequoiarill-demo/src/index.ts
@@ -1,3 +1,3 @@
-/** Embedded default: stand-ins and one router in one process. */
+/** Embedded demo: stand-ins and one router in one process. */
 export * from './demo';
 export * from './document';
--- a/packages/sequoiarill-demo/src/main.ts
+++ b/packages/sequoiarill-demo/src/main.ts
@@ -1,12 +1,12 @@
-/** Entry of `npm start`. */
+/** Entry point of `npm start`. */
 import * as Demos from './demo';
 import * as Documents from './document';
 
-const CALLERS = '127.0.0.1:8080';
-const OPERATORS = '127.0.0.1:8090';
+const CALLER_ADDRESS = '127.0.0.1:8080';
+const OPERATOR_ADDRESS = '127.0.0.1:8090';
 
 async function runDemo(): Promise<void> {
-  const demo = await Demos.startDemo({ callers: CALLERS, operators: OPERATORS });
+  const demo = await Demos.startDemo({ callers: CALLER_ADDRESS, operators: OPERATOR_ADDRESS });
   const stop = () => {
     process.stdout.write('stopping\n');
     demo.stop().catch(() => {
@@ -18,16 +18,16 @@
   const body = { model: Documents.MODEL, input: 'Which size fits me?', stream: true };
   process.stdout.write(
     [
-      `sequoiarill listens on http://${CALLERS}, for operators on http://${OPERATORS}.`,
+      `sequoiarill listens on http://${CALLER_ADDRESS}, for operators on http://${OPERATOR_ADDRESS}.`,
       'Stream an answer:',
       '',
-      `curl -N http://${CALLERS}/v1/responses \\`,
+      `curl -N http://${CALLER_ADDRESS}/v1/responses \\`,
       `  -H 'Authorization: Bearer ${demo.apiKey}' \\`,
       "  -H 'Content-Type: application/json' \\",
       `  -d '${JSON.stringify(body)}'`,
       '',
       'Ctrl-C stops it; a second terminal can see its state:',
-      `npx sequoiarill state --at ${OPERATORS}`,
+      `npx sequoiarill state --at ${OPERATOR_ADDRESS}`,
       '',
     ].join('\n'),
   );
