--- a/packages/sequoiarill-standins/src/userPlatform/documents.ts
+++ b/packages/sequoiarill-standins/src/userPlatform/documents.ts
@@ -1,44 +1,47 @@
-/** What operators, callers and targets write on the users' platform, for stand-ins of all three. */
+/**
+ * Documents and headers that operators, callers and targets write on the users' platform, for their
+ * stand-ins.
+ */
 import type { IncomingHttpHeaders } from 'node:http';
 
 export const HOST = 'shop.example';
 export const ORGANISATION = 'shop';
 export const CONFIGURATION_KEY = 'op/config';
-/** Services of the configuration below. */
+/** Services in the configuration that `createConfiguration` builds. */
 export type ServiceName = 'engines' | 'orders';
 
-const CONNECTIONS = 200;
+const MAX_CONNECTIONS = 200;
 
-export interface ConfigurationChange {
+export interface ConfigurationOptions {
   readonly timeoutMs?: number;
   readonly maxAttempts?: number;
   readonly apiKeys: readonly string[];
-  /** Path prefix of a further route to `orders`. */
+  /** Path prefix of an additional route to `orders`. */
   readonly furtherPrefix?: string;
 }
 
 /** Routes `/advice/` to engines, `/orders/` (at most once) and `/reads/` to plain targets. */
 export function createConfiguration(
   version: number,
-  change: ConfigurationChange,
+  options: ConfigurationOptions,
 ): Readonly<Record<string, unknown>> {
-  const { timeoutMs = 5_000, maxAttempts = 3, apiKeys, furtherPrefix } = change;
-  const shared = {
+  const { timeoutMs = 5_000, maxAttempts = 3, apiKeys, furtherPrefix } = options;
+  const sharedFields = {
     hostname: HOST,
     timeoutMs,
     targetLatencyMs: 400,
     maxAttempts,
     public: false,
   };
-  const plain = { ...shared, service: 'orders' };
-  const safe = { ...plain, routeType: 'safe' };
-  const further =
-    furtherPrefix === undefined ? [] : [{ ...safe, name: 'further', prefix: furtherPrefix }];
+  const plainRoute = { ...sharedFields, service: 'orders' };
+  const safeRoute = { ...plainRoute, routeType: 'safe' };
+  const furtherRoutes =
+    furtherPrefix === undefined ? [] : [{ ...safeRoute, name: 'further', prefix: furtherPrefix }];
   return {
     version,
     routes: [
       {
-        ...shared,
+        ...sharedFields,
         name: 'advice',
         prefix: '/advice/',
         routeType: 'streaming',
@@ -47,17 +50,17 @@
         streamResume: true,
         gapTargetMs: 700,
       },
-      { ...plain, name: 'orders', prefix: '/orders/', routeType: 'unsafe' },
-      { ...safe, name: 'reads', prefix: '/reads/' },
-      ...further,
+      { ...plainRoute, name: 'orders', prefix: '/orders/', routeType: 'unsafe' },
+      { ...safeRoute, name: 'reads', prefix: '/reads/' },
+      ...furtherRoutes,
     ],
     services: [
       {
         name: 'engines',
-        maxConnections: CONNECTIONS,
+        maxConnections: MAX_CONNECTIONS,
         engine: { kvCapacity: 100_000, backups: true, stride: 1, cacheHandleS: 4 },
       },
-      { name: 'orders', maxConnections: CONNECTIONS },
+      { name: 'orders', maxConnections: MAX_CONNECTIONS },
     ],
     limits: {
       maxHeaderBytes: 16_384,
@@ -75,9 +78,9 @@
   readonly zone: string;
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** Of its software. */
+  /** Version of the software that the target runs. */
   readonly version?: string;
-  /** Tells lives apart. */
+  /** Distinguishes incarnations of the target. */
   readonly startedAtUnixMs: number;
 }
 
@@ -89,7 +92,7 @@
   return JSON.stringify({ ...entry, warmupLeftMs: 0, born: startedAtUnixMs });
 }
 
-/** An operator's order to move a service to a version. */
+/** Formats an operator's rollout order, which moves a service to a version. */
 export function formatRolloutOrder(service: ServiceName, to: string, durationS: number): string {
   return JSON.stringify({ service, to, durationS });
 }
@@ -113,7 +116,10 @@
   };
 }
 
-/** `prompt` names the prompt's own part; `resumeAfter` is the last event that the caller has. */
+/**
+ * `prompt` identifies the part of the prompt after the shared prefix; `resumeAfter` is the last
+ * event received.
+ */
 export function createStreamHeaders(
   prompt: string,
   resumeAfter?: number,
@@ -127,7 +133,7 @@
   };
 }
 
-/** Whether a target's signature is on an answer. */
+/** Whether an answer carries a target's signature. */
 export function hasSignature(headers: IncomingHttpHeaders): boolean {
   return headers['server-signature'] !== undefined;
 }
--- a/packages/sequoiarill-standins/src/userPlatform/index.ts
+++ b/packages/sequoiarill-standins/src/userPlatform/index.ts
@@ -1,4 +1,4 @@
-/** The users' platform: its store, and its targets with their failures. */
+/** Stand-ins for the users' platform: its store and its targets, with injectable faults. */
 export * from './documents';
 export * from './storeStandin';
 export * from './targetStandin';
--- a/packages/sequoiarill-standins/src/userPlatform/storeStandin.ts
+++ b/packages/sequoiarill-standins/src/userPlatform/storeStandin.ts
@@ -1,9 +1,9 @@
-/** A stand-in of the platform's store: one process, in memory, with the faults that tests ask for. */
+/** Stand-in for the platform's store: a single in-memory server with injectable faults. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import * as Servers from '../shared/server';
 
-interface Item {
+interface StoredItem {
   readonly key: string;
   readonly data: string;
   readonly revision: number;
@@ -14,7 +14,7 @@
 interface Change {
   readonly key: string;
   readonly revision: number;
-  readonly item?: Item;
+  readonly item?: StoredItem;
 }
 
 interface Transaction {
@@ -36,7 +36,7 @@
   readonly writeValue: (key: string, value: string) => void;
   readonly removeKey: (key: string) => void;
   readonly getValue: (key: string) => string | undefined;
-  /** Drops the history and cuts the watches. */
+  /** Discards the history and answers every waiting watch. */
   readonly compact: () => void;
   readonly getCalls: () => readonly string[];
 }
@@ -47,12 +47,12 @@
   body: string,
 ) => void | Promise<void>;
 
-const PAGE_ITEMS = 3;
+const ITEMS_PER_PAGE = 3;
 
 export function createStoreStandin(): StoreStandin {
-  const items = new Map<string, Item>();
+  const items = new Map<string, StoredItem>();
   let history: Change[] = [];
-  let compactedTo = 0;
+  let compactedRevision = 0;
   let revision = 1;
   let nextLease = 100;
   let fault: StoreFault = 'none';
@@ -64,7 +64,7 @@
     response.end(JSON.stringify(body));
   }
 
-  function writeOne(key: string, data: string | undefined, lease = 0): void {
+  function writeItem(key: string, data: string | undefined, lease = 0): void {
     revision += 1;
     if (data === undefined) {
       items.delete(key);
@@ -77,22 +77,22 @@
     history.push({ key, revision, item });
   }
 
-  function reportChange(): void {
-    watchers.forEach((wake) => wake());
+  function resumeWatches(): void {
+    watchers.forEach((resumeWatch) => resumeWatch());
   }
 
   function runTransaction(transaction: Transaction): { status: number; body: unknown } {
     const { expectedRevision = [], puts = [], remove = [] } = transaction;
     const isMet = expectedRevision.every(
-      (one) => (items.get(one.key)?.revision ?? 0) === one.revision,
+      (expected) => (items.get(expected.key)?.revision ?? 0) === expected.revision,
     );
     if (!isMet) {
       const entries = expectedRevision.map(({ key }) => items.get(key) ?? { key });
       return { status: 412, body: { entries } };
     }
-    puts.forEach(({ key, data, lease }) => writeOne(key, data, lease));
-    remove.forEach((key) => writeOne(key, undefined));
-    reportChange();
+    puts.forEach(({ key, data, lease }) => writeItem(key, data, lease));
+    remove.forEach((key) => writeItem(key, undefined));
+    resumeWatches();
     return { status: 200, body: { revision } };
   }
 
@@ -102,33 +102,33 @@
     const found = [...items.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
       .sort((left, right) => (left.key < right.key ? -1 : 1));
-    const entries = found.slice(0, PAGE_ITEMS);
+    const entries = found.slice(0, ITEMS_PER_PAGE);
     return { entries, hasMore: found.length > entries.length, currentRev: revision };
   }
 
   async function handleWatch(query: URLSearchParams, response: ServerResponse): Promise<void> {
     const after = Number(query.get('after'));
     const prefix = query.get('prefix') ?? '';
-    const listNews = () =>
+    const listUpdates = () =>
       history.filter((change) => change.revision > after && change.key.startsWith(prefix));
-    if (after >= compactedTo && listNews().length === 0) {
+    if (after >= compactedRevision && listUpdates().length === 0) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, Number(query.get('waitMs')));
-        const wake = () => {
+        const resumeWatch = () => {
           clearTimeout(timer);
-          watchers.delete(wake);
+          watchers.delete(resumeWatch);
           resolve();
         };
-        watchers.add(wake);
-        response.once('close', wake);
+        watchers.add(resumeWatch);
+        response.once('close', resumeWatch);
       });
     }
-    if (after < compactedTo) {
+    if (after < compactedRevision) {
       sendJson(response, 410, {});
       return;
     }
-    const events = listNews().map(({ key, revision: changed, item }) =>
-      item === undefined ? { key, revision: changed, deleted: true } : item,
+    const events = listUpdates().map(({ key, revision: changedRevision, item }) =>
+      item === undefined ? { key, revision: changedRevision, deleted: true } : item,
     );
     sendJson(response, 200, { events, currentRev: revision });
   }
@@ -147,8 +147,8 @@
     if (fault !== 'loseWrites') sendJson(response, status, answer);
   }
 
-  /** Leases never end here. */
-  function handleOther(_query: URLSearchParams, response: ServerResponse): void {
+  /** Handles every other path as the grant of a lease; leases never expire in this stand-in. */
+  function grantLease(_query: URLSearchParams, response: ServerResponse): void {
     nextLease += 1;
     sendJson(response, 200, { lease: nextLease, ttlMs: 20_000 });
   }
@@ -175,7 +175,7 @@
       sendJson(response, fault === 'busy' ? 503 : 429, {});
       return;
     }
-    await (handlers[url.pathname] ?? handleOther)(url.searchParams, response, body);
+    await (handlers[url.pathname] ?? grantLease)(url.searchParams, response, body);
   }
 
   const server = Servers.createStandinServer('127.0.0.1:0', handleCall);
@@ -198,8 +198,8 @@
     },
     compact() {
       history = [];
-      compactedTo = revision;
-      reportChange();
+      compactedRevision = revision;
+      resumeWatches();
     },
     getCalls: () => calls,
   };
--- a/packages/sequoiarill-standins/src/userPlatform/targetStandin.ts
+++ b/packages/sequoiarill-standins/src/userPlatform/targetStandin.ts
@@ -1,32 +1,37 @@
-/** A stand-in of the platform's targets: model engines and plain services, with their failures. */
+/**
+ * Stand-in for the platform's targets, model engines and plain services, with injectable faults.
+ */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from 'node:http';
 
 import * as Servers from '../shared/server';
 
 export type TargetFault =
   | 'none'
-  /** Connections are reset once a stream has sent so many events. */
+  /** Resets the connection once a stream has sent `EVENTS_BEFORE_FAULT` events. */
   | 'dieInStream'
-  /** Nothing is sent or answered any more from there on, and nothing is closed. */
+  /**
+   * After the same number of events, the target sends and answers nothing more, but closes no
+   * connection.
+   */
   | 'fallSilentInStream'
-  /** Whole answers have no length and end early with their connection. */
+  /** Sends non-streaming answers without a length and closes the connection halfway through. */
   | 'unframedHalf'
-  /** A second answer, to an earlier request, follows each answer. */
+  /** Sends a second answer, with the id of another request, after each answer. */
   | 'extraAnswer'
-  /** The request is not run: the queue is full. */
+  /** Refuses the request without running it, as with a full queue. */
   | 'shed'
-  /** Runs, and answers that it failed. */
+  /** Runs the request and answers with a server error. */
   | 'serverError'
-  /** Runs, and closes the connection without an answer. */
+  /** Runs the request and closes the connection without an answer. */
   | 'loseAnswer';
 
-/** One request that a target began to run. */
+/** One request that a target started to run. */
 export interface TargetRun {
   readonly requestId: string;
   readonly path: string;
-  /** Whose request it is, as it was told. */
+  /** The organisation that the request named in its header. */
   readonly organisation: string;
-  /** The caller's key was passed on. */
+  /** Whether the request carried the caller's API key. */
   readonly hasApiKey: boolean;
   /** `performance.now()`, milliseconds. */
   readonly startedAtMs: number;
@@ -35,9 +40,9 @@
 export interface TargetOptions {
   /** `IP:port`; port 0 lets the operating system choose one. */
   readonly listen?: string;
-  /** Events of each stream. */
+  /** Number of events in each stream. */
   readonly eventCount?: number;
-  /** The process ends as soon as it begins to run a request of this path. */
+  /** Simulates a crash of the process as soon as it starts to run a request with this path. */
   readonly crashPath?: string;
 }
 
@@ -46,13 +51,15 @@
   readonly start: () => Promise<string>;
   readonly stop: () => Promise<void>;
   readonly setFault: (fault: TargetFault) => void;
-  /** Requests a second that it names in its answers; undefined: none. */
+  /**
+   * Sets the limit, in requests per second, that its answers announce; undefined announces none.
+   */
   readonly setAnnouncedLimit: (perSecond: number | undefined) => void;
-  /** In the order in which they were begun. */
+  /** Lists the runs in the order in which they started. */
   readonly listRuns: () => readonly TargetRun[];
-  /** Headers of all requests, also of those that were not run. */
+  /** Lists the headers of all requests, including those that were not run. */
   readonly listHeaders: () => readonly IncomingHttpHeaders[];
-  /** Requests that it works on now. */
+  /** Counts the requests that are running now. */
   readonly countInFlight: () => number;
 }
 
@@ -60,7 +67,7 @@
 const EVENTS_BEFORE_FAULT = 5;
 const EVENT_MS = 15;
 
-/** The events of a request are the same on every engine. */
+/** The events of a request are identical on every engine. */
 export function formatEvent(requestId: string, number: number): string {
   return `id: ${number}\ndata: ${requestId} token ${number}\n\n`;
 }
@@ -77,12 +84,12 @@
   const { listen = '127.0.0.1:0', eventCount = EVENT_COUNT, crashPath } = options;
   let fault: TargetFault = 'none';
   let isSilent = false;
-  let namedLimit: number | undefined;
+  let announcedLimitPerSecond: number | undefined;
   const runs: TargetRun[] = [];
-  const seenHeaders: IncomingHttpHeaders[] = [];
-  let running = 0;
-  /** Parts of the prompts that it has read. */
-  const kept = new Map<string, number>();
+  const receivedHeaders: IncomingHttpHeaders[] = [];
+  let inFlight = 0;
+  /** Tokens of each cached part of a prompt, by the id of the part. */
+  const cachedTokensByPart = new Map<string, number>();
 
   async function waitMs(ms: number): Promise<void> {
     await new Promise((resolve) => {
@@ -102,7 +109,7 @@
       if (isSilent) return;
       response.write(formatEvent(requestId, number));
       if (number === EVENTS_BEFORE_FAULT && fault === 'dieInStream') {
-        // In the middle of an event, as a crash does.
+        // Breaks off within an event, as a crash does.
         response.write('id: 6\ndata: ha', () => response.socket?.resetAndDestroy());
         return;
       }
@@ -111,8 +118,11 @@
     response.end();
   }
 
-  function sendWhole(requestId: string, body: string, response: ServerResponse): void {
-    const limit = namedLimit === undefined ? {} : { 'server-limit': String(namedLimit) };
+  function sendAnswer(requestId: string, body: string, response: ServerResponse): void {
+    const limit =
+      announcedLimitPerSecond === undefined
+        ? {}
+        : { 'server-limit': String(announcedLimitPerSecond) };
     const headers = { 'request-id': requestId, 'server-signature': `signed by ${id}`, ...limit };
     if (fault === 'serverError') {
       response.writeHead(500, { ...headers, 'content-length': 0 }).end();
@@ -135,8 +145,8 @@
   function handleReport(response: ServerResponse): void {
     const report = {
       queued: 0,
-      active: running,
-      kvUsed: running * 1_000,
+      active: inFlight,
+      kvUsed: inFlight * 1_000,
       kvTotal: 100_000,
       runs: [],
     };
@@ -144,30 +154,30 @@
     response.end(JSON.stringify({ ...report, state: 'ready' }));
   }
 
-  function handleKept(response: ServerResponse): void {
-    const held = [...kept].map(([part, tokens]) => ['', part, tokens, 'm']);
+  function handleKvList(response: ServerResponse): void {
+    const held = [...cachedTokensByPart].map(([part, tokens]) => ['', part, tokens, 'm']);
     response.writeHead(200, { 'content-type': 'application/json' });
     response.end(JSON.stringify({ epoch: 1, next: 1, held }));
   }
 
-  function addPrompt(parts: unknown): void {
-    if (typeof parts !== 'string') return;
-    for (const part of parts.split(',')) {
+  function addCachedParts(promptPrefix: unknown): void {
+    if (typeof promptPrefix !== 'string') return;
+    for (const part of promptPrefix.split(',')) {
       const [partId = '', tokens = '0'] = part.split(':');
-      kept.set(partId, Number(tokens));
+      cachedTokensByPart.set(partId, Number(tokens));
     }
   }
 
-  /** Paths that are no caller's request. */
-  const ownAnswers: Readonly<Record<string, (response: ServerResponse) => void>> = {
+  /** Handlers of the paths for management calls, which are not requests of callers. */
+  const managementHandlers: Readonly<Record<string, (response: ServerResponse) => void>> = {
     '/report': handleReport,
-    '/kv-list': handleKept,
+    '/kv-list': handleKvList,
     '/kv-move': (response) => response.writeHead(404).end(),
     '/healthz': (response) => response.writeHead(200, { 'instance-id': id }).end(),
   };
 
-  /** A run that ends without an answer; false where it goes on. */
-  function failRun(request: IncomingMessage, response: ServerResponse): boolean {
+  /** Ends a run without an answer if a fault requires it; returns false if the run continues. */
+  function stopRunByFault(request: IncomingMessage, response: ServerResponse): boolean {
     if (crashPath !== undefined && request.url === crashPath) {
       server.refuseConnections();
       return true;
@@ -179,16 +189,16 @@
 
   async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (isSilent) return;
-    const answerOwn = ownAnswers[request.url ?? ''];
-    if (answerOwn !== undefined) {
-      answerOwn(response);
+    const handleManagement = managementHandlers[request.url ?? ''];
+    if (handleManagement !== undefined) {
+      handleManagement(response);
       return;
     }
     const chunks: Buffer[] = [];
     for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk);
     const requestId = String(request.headers['request-id']);
     const expected = request.headers['expect-instance'];
-    seenHeaders.push(request.headers);
+    receivedHeaders.push(request.headers);
     if (expected !== undefined && expected !== id) {
       response.writeHead(421, { 'instance-id': id, 'request-id': requestId }).end();
       return;
@@ -204,14 +214,14 @@
       hasApiKey: request.headers.credential !== undefined,
       startedAtMs: performance.now(),
     });
-    if (failRun(request, response)) return;
-    running += 1;
-    addPrompt(request.headers['prompt-prefix']);
+    if (stopRunByFault(request, response)) return;
+    inFlight += 1;
+    addCachedParts(request.headers['prompt-prefix']);
     const isStream = request.headers.accept === 'text/event-stream';
     const from = Number(request.headers['last-event-id'] ?? 0) + 1;
     if (isStream) await sendStream(requestId, from, response);
-    else sendWhole(requestId, `${requestId} got ${Buffer.concat(chunks).toString()}`, response);
-    running -= 1;
+    else sendAnswer(requestId, `${requestId} got ${Buffer.concat(chunks).toString()}`, response);
+    inFlight -= 1;
   }
 
   const server = Servers.createStandinServer(listen, handleRequest);
@@ -224,10 +234,10 @@
       fault = next;
     },
     setAnnouncedLimit(perSecond) {
-      namedLimit = perSecond;
+      announcedLimitPerSecond = perSecond;
     },
     listRuns: () => runs,
-    listHeaders: () => seenHeaders,
-    countInFlight: () => running,
+    listHeaders: () => receivedHeaders,
+    countInFlight: () => inFlight,
   };
 }
