--- a/packages/sequoiarill-standins/src/link/__tests__/link.test.ts
+++ b/packages/sequoiarill-standins/src/link/__tests__/link.test.ts
@@ -52,7 +52,7 @@
     return socket;
   }
 
-  it('drops what goes to the caller, while the target still gets everything', async () => {
+  it('drops bytes to the caller while the target still receives everything', async () => {
     link.cutToCaller();
     caller.write('b');
     await Calls.waitUntil(() => link.getCounters().bytesDropped === 1);
@@ -60,11 +60,11 @@
     link.heal();
     caller.write('c');
     await Calls.waitUntil(() => link.getCounters().bytesDropped === 2);
-    // What follows the hole is not passed on either.
+    // Bytes after the gap are not forwarded either.
     expect([received, echoed]).toEqual(['abc', 'a']);
   });
 
-  it('drops what goes to the target and resets nothing', async () => {
+  it('drops bytes to the target without resetting the connection', async () => {
     link.cutToTarget();
     caller.write('b');
     await Calls.waitUntil(() => link.getCounters().bytesDropped === 1);
@@ -72,7 +72,7 @@
     expect([received, caller.destroyed]).toEqual(['a', false]);
   });
 
-  it('holds bytes back while it stalls and lets them through afterwards', async () => {
+  it('holds back bytes during a stall and forwards them afterwards', async () => {
     link.stall();
     caller.write('b');
     await new Promise(setImmediate);
--- a/packages/sequoiarill-standins/src/link/index.ts
+++ b/packages/sequoiarill-standins/src/link/index.ts
@@ -1,2 +1,2 @@
-/** Link stand-in: the network between two processes. */
+/** Stand-in for the network link between two processes. */
 export * from './link';
--- a/packages/sequoiarill-standins/src/link/link.ts
+++ b/packages/sequoiarill-standins/src/link/link.ts
@@ -1,8 +1,8 @@
 /**
- * A TCP forwarder between a caller and a target, for tests of the network between them.
+ * A TCP forwarder between a caller and a target that injects network faults.
  *
- * A connection that lost bytes in a direction stays silent in that direction after `heal`: going on
- * would hand the reader a stream with a hole, which TCP never does.
+ * A connection that dropped bytes in one direction forwards nothing more in that direction after
+ * `heal`: forwarding again would deliver a stream with a gap, which TCP never does.
  */
 import * as Net from 'node:net';
 
@@ -27,15 +27,16 @@
 export interface LinkStandin {
   readonly start: () => Promise<{ readonly address: string }>;
   readonly stop: () => Promise<void>;
-  /** Bytes towards the target are dropped silently. */
+  /** Silently drops bytes towards the target. */
   readonly cutToTarget: () => void;
-  /** Bytes towards the caller are dropped silently. */
+  /** Silently drops bytes towards the caller. */
   readonly cutToCaller: () => void;
   readonly cutBoth: () => void;
-  /** Bytes wait in both directions; `heal` lets them through. */
+  /** Holds back bytes in both directions until `heal`. */
   readonly stall: () => void;
-  /** Resets every open connection. New ones are forwarded. */
+  /** Resets every open connection; new ones are forwarded. */
   readonly reset: () => void;
+  /** Clears every cut and stall. */
   readonly heal: () => void;
   readonly getCounters: () => LinkCounters;
 }
@@ -92,14 +93,14 @@
         Pipes.closeByReset(targetSocket);
       },
     };
-    // While one side is open, a cut or a stall of it can still end, and `stop` must close it.
-    function removeClosed(): void {
+    // While one side is open, its cut or stall can still be cleared, and `stop` must close it.
+    function removeIfClosed(): void {
       if (caller.destroyed && targetSocket.destroyed) connections.delete(connection);
     }
     connectionsOpened += 1;
     connections.add(connection);
-    caller.on('close', removeClosed);
-    targetSocket.on('close', removeClosed);
+    caller.on('close', removeIfClosed);
+    targetSocket.on('close', removeIfClosed);
   }
 
   function setModes(toTarget: Pipes.PipeMode, toCaller: Pipes.PipeMode): void {
--- a/packages/sequoiarill-standins/src/link/pipe.ts
+++ b/packages/sequoiarill-standins/src/link/pipe.ts
@@ -1,4 +1,4 @@
-/** One direction of one forwarded connection. */
+/** Forwards one direction of one connection. */
 import type { Socket } from 'node:net';
 
 export type PipeMode = 'open' | 'cut' | 'stalled';
@@ -19,22 +19,22 @@
   listener: PipeListener,
 ): Pipe {
   let mode = initialMode;
-  let hasLost = false;
-  /** Set when the source closed while nothing may pass. */
+  let hasDroppedBytes = false;
+  /** Set if the source closed while the pipe is cut, stalled or has dropped bytes. */
   let pendingClose: (() => void) | undefined;
 
-  function sendPart(part: Buffer): void {
-    if (mode === 'cut') hasLost = true;
-    if (hasLost) {
-      listener.onDropped(part.length);
+  function sendChunk(chunk: Buffer): void {
+    if (mode === 'cut') hasDroppedBytes = true;
+    if (hasDroppedBytes) {
+      listener.onDropped(chunk.length);
       return;
     }
-    listener.onForwarded(part.length);
-    if (!sink.write(part)) source.pause();
+    listener.onForwarded(chunk.length);
+    if (!sink.write(chunk)) source.pause();
   }
 
   function closeSink(close: () => void): void {
-    if (mode === 'open' && !hasLost) close();
+    if (mode === 'open' && !hasDroppedBytes) close();
     else pendingClose = close;
   }
 
@@ -42,12 +42,12 @@
     mode = next;
     if (mode === 'stalled') source.pause();
     else source.resume();
-    if (mode !== 'open' || hasLost || pendingClose === undefined) return;
+    if (mode !== 'open' || hasDroppedBytes || pendingClose === undefined) return;
     pendingClose();
     pendingClose = undefined;
   }
 
-  source.on('data', sendPart);
+  source.on('data', sendChunk);
   source.on('end', () => closeSink(() => sink.end()));
   source.on('error', () => closeSink(() => closeByReset(sink)));
   source.on('close', () => closeSink(() => sink.destroySoon()));
@@ -59,8 +59,8 @@
 }
 
 /**
- * Resets a connection. A socket whose own end is on its way cannot be reset any more: libuv refuses,
- * and Node.js 20 then leaves the handle open for ever, so that the process never ends.
+ * Resets a connection. A socket that has already been ended locally cannot be reset: libuv refuses
+ * it, and Node.js 20 then leaves the handle open forever, so that the process never exits.
  */
 export function closeByReset(socket: Socket): void {
   if (socket.writableEnded) socket.destroy();
