--- a/packages/sequoiarill-standins/src/__tests__/main.test.ts
+++ b/packages/sequoiarill-standins/src/__tests__/main.test.ts
@@ -13,7 +13,7 @@
 const BIN = Path.join(PACKAGE, 'bin', 'sequoiarill-standin.js');
 const EXAMPLES = Path.join(PACKAGE, '..', '..', 'examples', 'standins');
 
-interface Announcement {
+interface StartMessage {
   readonly standin: string;
   readonly address: string;
 }
@@ -28,10 +28,10 @@
   after(() => rmSync(directory, { recursive: true }));
 
   for (const kind of ['platform', 'engine', 'service']) {
-    it(`starts the ${kind} from its example and stops on SIGTERM`, async () => {
+    it(`starts the ${kind} from its example settings and stops on SIGTERM`, async () => {
       const child = startProcess(kind, Path.join(EXAMPLES, `${kind}.ini`));
       const [line] = (await once(child.stdout, 'data')) as [Buffer];
-      const { address, standin } = JSON.parse(String(line)) as Announcement;
+      const { address, standin } = JSON.parse(String(line)) as StartMessage;
       expect(standin).toEqual(kind);
       const response = await Calls.readGet(`http://${address}/standin/counters`);
       expect(response.statusCode).toEqual(200);
@@ -42,12 +42,12 @@
     });
   }
 
-  // A bench that kills an engine for a moment would lose it for good.
-  // The engine plays dead, nothing is left that listens, and its process ends.
-  it('outlives the time in which it plays dead', async () => {
+  // Guards against a process that exits during a simulated crash and so cannot restart:
+  // while the listener is closed, nothing else keeps the event loop alive.
+  it('stays alive through a simulated crash and restarts', async () => {
     const child = startProcess('engine', Path.join(EXAMPLES, 'engine.ini'));
     const [line] = (await once(child.stdout, 'data')) as [Buffer];
-    const { address } = JSON.parse(String(line)) as Announcement;
+    const { address } = JSON.parse(String(line)) as StartMessage;
     const fault = { kind: 'die', reviveAfterMs: 300 };
     const answer = await Calls.sendJson(`http://${address}/standin/fault`, fault);
     await answer.body.dump();
@@ -64,7 +64,7 @@
     expect(code).toEqual(0);
   });
 
-  it('lists every fault of a settings file at once', async () => {
+  it('reports all errors of a settings file together', async () => {
     const file = Path.join(directory, 'bad.ini');
     writeFileSync(file, '[engine]\nlisten = nowhere\nslots = 0\nspeed = 1\n[mistake]\na = 1\n');
     const child = startProcess('engine', file);
@@ -73,9 +73,9 @@
       output += String(part);
     });
     const [code] = (await once(child, 'close')) as [number | null];
-    const places = output.split('\n').map((line) => line.slice(file.length + 2).split(':')[0]);
+    const locations = output.split('\n').map((line) => line.slice(file.length + 2).split(':')[0]);
     expect(code).toEqual(1);
-    expect(places).toEqual([
+    expect(locations).toEqual([
       '[mistake]',
       '[engine] listen',
       '[engine] slots',
--- a/packages/sequoiarill-standins/src/engine/__tests__/continuation.test.ts
+++ b/packages/sequoiarill-standins/src/engine/__tests__/continuation.test.ts
@@ -30,7 +30,7 @@
     await second.stop();
   });
 
-  async function readPrompt(url: string, prompt: readonly number[], maxTokens: number) {
+  async function readCompletion(url: string, prompt: readonly number[], maxTokens: number) {
     const response = await Calls.sendJson(`${url}/v1/completions`, {
       model: MODEL,
       prompt,
@@ -41,28 +41,28 @@
     return Calls.readStream(response);
   }
 
-  // A caller would see a token twice or not at all, or an answer of another length.
-  // The first engine dies at some token; the second gets the prompt and all that was emitted.
-  // Cause: a token that depends on anything but the tokens before it.
-  it('gives the very same tokens for every cut', async () => {
+  // Guards against an answer with a duplicate or missing token or of another length: the first
+  // engine crashes at some token, and the second receives the prompt and all tokens emitted so far.
+  // It can only continue exactly if each token depends on nothing but the tokens before it.
+  it('generates the same tokens wherever the output is cut', async () => {
     const prompts = FastCheck.array(FastCheck.integer({ min: 10, max: 50_000 }), {
       minLength: 1,
       maxLength: 40,
     });
     const property = FastCheck.asyncProperty(prompts, FastCheck.nat(), async (prompt, nat) => {
-      const whole = await readPrompt(firstUrl, prompt, MAX_TOKENS);
-      expect(whole.isDone).toEqual(true);
-      if (whole.ids.length < 2) return;
-      const cut = 1 + (nat % (whole.ids.length - 1));
-      const kept = whole.ids.slice(0, cut);
-      const rest = await readPrompt(secondUrl, [...prompt, ...kept], MAX_TOKENS - cut);
-      expect([...kept, ...rest.ids]).toEqual([...whole.ids]);
-      expect(rest.finishReason).toEqual(whole.finishReason);
+      const fullRun = await readCompletion(firstUrl, prompt, MAX_TOKENS);
+      expect(fullRun.isDone).toEqual(true);
+      if (fullRun.ids.length < 2) return;
+      const cut = 1 + (nat % (fullRun.ids.length - 1));
+      const received = fullRun.ids.slice(0, cut);
+      const rest = await readCompletion(secondUrl, [...prompt, ...received], MAX_TOKENS - cut);
+      expect([...received, ...rest.ids]).toEqual([...fullRun.ids]);
+      expect(rest.finishReason).toEqual(fullRun.finishReason);
     });
     await FastCheck.assert(property, { seed: SEED, numRuns: 40 });
   });
 
-  it('gives what the exported reference computes, for chat too', async () => {
+  it('generates what the exported reference computes, also for chat', async () => {
     const messages = [{ role: 'user', content: 'Which size of the wool jacket?' }] as const;
     const response = await Calls.sendJson(`${firstUrl}/v1/chat/completions`, {
       model: MODEL,
@@ -82,7 +82,7 @@
     expect(answer.usage?.completion_tokens).toEqual(expected.ids.length);
   });
 
-  it("serves the interface's published client", async () => {
+  it('serves the published client of the API', async () => {
     const openai = new OpenAI({ baseURL: `${firstUrl}/v1`, apiKey: 'none', maxRetries: 0 });
     const messages = [{ role: 'user', content: 'Renew the contract.' }] as const;
     const stream = await openai.chat.completions.create({
@@ -104,20 +104,26 @@
     expect(models.data.map((model) => model.id)).toEqual([MODEL]);
   });
 
-  // A caller would see U+FFFD in the middle of an Icelandic word.
-  // The engine died between the two tokens of one character, and the continuation began there.
-  // Cause: engines decode their own output only. A router has to cut before the character.
-  it('spoils a character whose first half is in the prompt, as real engines do', async () => {
+  // Reproduces how U+FFFD gets into the middle of a word: an engine crashes between the two tokens
+  // of one character, and the continuation starts there. Engines decode only their own output, so a
+  // router has to cut before the character.
+  it('decodes the second half of a character to U+FFFD if its first half is in the prompt', async () => {
     const prompt = [11, 12, 13];
     const options = { ...OPTIONS, endProbability: 0 };
-    const whole = Engine.computeOutput(options, prompt, 400);
-    const lead = whole.ids.findIndex(Engine.isLead);
+    const fullOutput = Engine.computeOutput(options, prompt, 400);
+    const lead = fullOutput.ids.findIndex(Engine.isLeadToken);
     expect(lead >= 0).toEqual(true);
-    const start = whole.ids.slice(0, lead);
-    const spoilt = await readPrompt(secondUrl, [...prompt, ...start, whole.ids[lead] ?? 0], 1);
-    expect(spoilt.text).toEqual('\uFFFD');
-    const clean = await readPrompt(secondUrl, [...prompt, ...start], 2);
-    expect(clean.text).toEqual(Engine.computeOutput(options, [...prompt, ...start], 2).text);
+    const beforeCharacter = fullOutput.ids.slice(0, lead);
+    const replaced = await readCompletion(
+      secondUrl,
+      [...prompt, ...beforeCharacter, fullOutput.ids[lead] ?? 0],
+      1,
+    );
+    expect(replaced.text).toEqual('\uFFFD');
+    const clean = await readCompletion(secondUrl, [...prompt, ...beforeCharacter], 2);
+    expect(clean.text).toEqual(
+      Engine.computeOutput(options, [...prompt, ...beforeCharacter], 2).text,
+    );
     expect(clean.text).not.toEqual('\uFFFD');
   });
 });
--- a/packages/sequoiarill-standins/src/engine/__tests__/engine.test.ts
+++ b/packages/sequoiarill-standins/src/engine/__tests__/engine.test.ts
@@ -37,7 +37,7 @@
     );
   }
 
-  it('goes on without its reader and resumes after the tokens that were received', async () => {
+  it('continues without its reader and resumes after the last received token', async () => {
     await startEngine();
     const broken = await sendPrompt({ max_tokens: 200 }, { 'x-request-id': 'r1' });
     const part = await Calls.readStream(broken, 20);
@@ -53,28 +53,28 @@
     expect(engine.getCounters().tokensGenerated).toEqual(200);
   });
 
-  it('ends a generation that nobody comes back for', async () => {
+  it('ends a generation if no reader reconnects in time', async () => {
     await startEngine({ holdMs: 5 });
     await Calls.readStream(await sendPrompt({ max_tokens: 9_999 }, { 'x-request-id': 'r1' }), 2);
     await Calls.waitUntil(() => engine.getCounters().abandoned === 1);
     expect((await resumeStream('r1', 2)).statusCode).toEqual(404);
   });
 
-  // Two generations of one request would be mixed into one answer.
-  // A router was paused, another took over with a higher fencing number, then the first woke up.
-  // Cause: an engine that serves whoever asks last.
-  it('ends the older generation and refuses an old fencing number', async () => {
+  // Guards against mixing two generations of one request into one answer: a router is paused,
+  // another takes over with a higher fencing number, then the first resumes. Without fencing, an
+  // engine would serve whichever router sent the last request.
+  it('ends the older generation and refuses a stale fencing number', async () => {
     await startEngine({ checksFencing: true });
-    const order = { max_tokens: 9_999 };
-    const older = await sendPrompt(order, { 'x-request-id': 'r1', 'x-fencing-number': '1' });
-    const newer = await sendPrompt(order, { 'x-request-id': 'r1', 'x-fencing-number': '2' });
+    const longRequest = { max_tokens: 9_999 };
+    const older = await sendPrompt(longRequest, { 'x-request-id': 'r1', 'x-fencing-number': '1' });
+    const newer = await sendPrompt(longRequest, { 'x-request-id': 'r1', 'x-fencing-number': '2' });
     const olderEnd = await Calls.readStream(older);
     expect([olderEnd.finishReason, olderEnd.isDone, olderEnd.isBroken]).toEqual([
       null,
       false,
       false,
     ]);
-    const stale = await sendPrompt(order, { 'x-request-id': 'r1', 'x-fencing-number': '1' });
+    const stale = await sendPrompt(longRequest, { 'x-request-id': 'r1', 'x-fencing-number': '1' });
     const body = await Calls.readJson<{ error: { code: string } }>(stale);
     expect([stale.statusCode, body.error.code]).toEqual([409, 'stale_fencing_number']);
     expect((await resumeStream('r1', 0, 1)).statusCode).toEqual(409);
@@ -82,7 +82,7 @@
     newer.body.destroy();
   });
 
-  it('ignores fencing numbers where it does not check them', async () => {
+  it('ignores fencing numbers if it is not configured to check them', async () => {
     await startEngine();
     const headers = { 'x-request-id': 'r1' };
     const newer = await sendPrompt({}, { ...headers, 'x-fencing-number': '2' });
@@ -91,7 +91,7 @@
     expect(ends.map((end) => end.isDone)).toEqual([true, true]);
   });
 
-  it('stops at a cancel order and tells how far it was', async () => {
+  it('stops at a cancel command and reports the tokens produced', async () => {
     await startEngine();
     const response = await sendPrompt({ max_tokens: 9_999 }, { 'x-request-id': 'r1' });
     const events = Calls.readEvents(response);
@@ -105,7 +105,7 @@
     expect(engine.getCounters().cancelled).toEqual(1);
   });
 
-  it('dies after so many tokens, and comes back without memory', async () => {
+  it('crashes after a number of tokens and restarts without its state', async () => {
     await startEngine();
     const { incarnation } = engine.getLoad();
     await engine.setFault({ kind: 'dieAfterTokens', count: 7 });
@@ -118,7 +118,7 @@
     expect((await Calls.readStream(await sendPrompt())).isDone).toEqual(true);
   });
 
-  it('takes its faults over HTTP and answers before it dies', async () => {
+  it('accepts faults over HTTP and responds before it crashes', async () => {
     await startEngine();
     const { incarnation } = engine.getLoad();
     const refused = await Calls.sendJson(`${url}/standin/fault`, { kind: 'nap' });
@@ -137,7 +137,7 @@
     );
   });
 
-  it('keeps connections open while it is paused, and goes on afterwards', async () => {
+  it('keeps connections open during a pause and continues afterwards', async () => {
     await startEngine();
     const events = Calls.readEvents(await sendPrompt({ max_tokens: 500 }));
     await events.next();
@@ -153,7 +153,7 @@
     expect(last).toEqual('[DONE]');
   });
 
-  it('stalls its streams while everything else is answered', async () => {
+  it('stalls its streams while other requests are answered', async () => {
     await startEngine();
     await engine.setFault({ kind: 'stallAfterTokens', count: 3 });
     const response = await sendPrompt();
@@ -164,7 +164,7 @@
     expect((await Calls.readStream(response)).ids.length).toEqual(50);
   });
 
-  it('queues above its slots, serves the lowest priority number first and refuses the rest', async () => {
+  it('queues requests beyond its slots, runs the lowest priority number first and refuses the rest', async () => {
     await startEngine({ slots: 1, maxWaiting: 2 });
     const running = await sendPrompt({ max_tokens: 100 });
     const late = sendPrompt({ priority: 9, max_tokens: 1 }).then(Calls.readStream);
@@ -173,16 +173,16 @@
     await Calls.waitUntil(() => engine.getLoad().waiting === 2);
     const refused = await sendPrompt();
     expect([refused.statusCode, refused.headers['retry-after']]).toEqual([503, '1']);
-    const order: string[] = [];
+    const endOrder: string[] = [];
     await Promise.all([
-      Calls.readStream(running).then(() => order.push('running')),
-      late.then(() => order.push('late')),
-      urgent.then(() => order.push('urgent')),
+      Calls.readStream(running).then(() => endOrder.push('running')),
+      late.then(() => endOrder.push('late')),
+      urgent.then(() => endOrder.push('urgent')),
     ]);
-    expect(order).toEqual(['running', 'urgent', 'late']);
+    expect(endOrder).toEqual(['running', 'urgent', 'late']);
   });
 
-  it('tells of cached prompt tokens and of stored blocks, with gaps', async () => {
+  it('reports cached prompt tokens, and publishes stored blocks with gaps', async () => {
     await startEngine({ cacheEventDelayMs: 0, cacheEventGapEvery: 2 });
     const prompt = Array.from({ length: 40 }, (unused, index) => 100 + index);
     await Calls.readStream(await sendPrompt({ prompt, max_tokens: 1 }));
@@ -196,7 +196,7 @@
     expect(events.every((event) => event.sequence % 2 === 1)).toEqual(true);
   });
 
-  it('refuses an unknown model and a prompt over the context', async () => {
+  it('refuses an unknown model and a prompt that exceeds the context', async () => {
     await startEngine({ contextTokens: 60, loadMs: 0 });
     const unknown = await sendPrompt({ model: 'other' });
     expect(unknown.statusCode).toEqual(404);
@@ -207,7 +207,7 @@
     expect((await Calls.readStream(await sendPrompt({ model: 'other' }))).isDone).toEqual(true);
   });
 
-  it('lets those in progress end while it drains', async () => {
+  it('finishes generations in progress while it drains', async () => {
     await startEngine();
     const response = await sendPrompt();
     await engine.setFault({ kind: 'drain' });
--- a/packages/sequoiarill-standins/src/engine/cacheEvents.ts
+++ b/packages/sequoiarill-standins/src/engine/cacheEvents.ts
@@ -1,11 +1,14 @@
-/** What an engine publishes about its prefix cache: late, and with configured gaps. */
+/**
+ * Events that an engine publishes about its prefix cache, with a configured delay and configured
+ * gaps.
+ */
 import * as PrefixCaches from './prefixCache';
 
-/** Kept for readers that come later; the oldest are forgotten first. */
+/** Events retained for later readers; the oldest are discarded first. */
 const MAX_EVENTS = 10_000;
 
 export interface CacheEvent {
-  /** Rises by one; a reader sees a gap where numbers are missing. */
+  /** Increases by one for each event, so that a reader detects gaps by missing numbers. */
   readonly sequence: number;
   readonly type: 'BlockStored' | 'BlockRemoved' | 'AllBlocksCleared';
   readonly model?: string;
@@ -52,11 +55,11 @@
     onRemoved: (model, hashes) => addEvent({ type: 'BlockRemoved', model, block_hashes: hashes }),
     recordCleared: () => addEvent({ type: 'AllBlocksCleared' }),
     listEventsAfter(sequence) {
-      const shownUntil = performance.now() - delayMs;
-      const shown = events.filter(
-        ({ event, atMs }) => event.sequence > sequence && atMs <= shownUntil,
+      const publishedUntilMs = performance.now() - delayMs;
+      const published = events.filter(
+        ({ event, atMs }) => event.sequence > sequence && atMs <= publishedUntilMs,
       );
-      return shown.map(({ event }) => event);
+      return published.map(({ event }) => event);
     },
   };
 }
--- a/packages/sequoiarill-standins/src/engine/chunks.ts
+++ b/packages/sequoiarill-standins/src/engine/chunks.ts
@@ -1,8 +1,8 @@
 /**
- * Server-sent events of the published completion interfaces.
+ * Server-sent events of the published completion APIs.
  *
- * Chunks are put together from prepared text, since at hundreds of streams building an object for
- * each token and turning it into JSON would take most of the processor time.
+ * Chunks are concatenated from prepared text: with hundreds of streams, building an object for each
+ * token and serialising it as JSON would take most of the CPU time.
  */
 import type { ServerResponse } from 'node:http';
 
@@ -14,12 +14,12 @@
   readonly form: ChunkForm;
   readonly requestId: string;
   readonly model: string;
-  /** Sent with the first chunk when the caller asked for token ids. */
+  /** Sent with the first chunk if the caller requested token ids. */
   readonly promptIds: readonly number[] | undefined;
   readonly includesUsage: boolean;
 }
 
-/** Unsent bytes of one response above which its generation pauses. */
+/** Unsent bytes of one response above which its generation is paused. */
 const MAX_BUFFERED_BYTES = 65_536;
 const MS_PER_SECOND = 1_000;
 
@@ -31,7 +31,7 @@
   return `${form === 'chat' ? 'chatcmpl' : 'cmpl'}-${requestId}`;
 }
 
-/** The usage object of the published interfaces. */
+/** Builds the usage object of the published APIs. */
 export function buildUsage(usage: GenerationUsage): unknown {
   return {
     prompt_tokens: usage.promptTokens,
@@ -46,18 +46,18 @@
   options: StreamOptions,
 ): GenerationStream {
   const { form, promptIds } = options;
-  const head = buildHead(options);
-  const asksIds = promptIds !== undefined;
+  const chunkFields = buildChunkFields(options);
+  const includesTokenIds = promptIds !== undefined;
   let isFirst = true;
 
   function takePromptIds(): string {
-    const isDue = isFirst && asksIds;
+    const isDue = isFirst && includesTokenIds;
     isFirst = false;
     return isDue ? `,"prompt_token_ids":${JSON.stringify(promptIds)}` : '';
   }
 
   function buildChoice(ids: readonly number[], text: string, finish: string): string {
-    const tokenIds = asksIds ? `,"token_ids":[${ids.join(',')}]` : '';
+    const tokenIds = includesTokenIds ? `,"token_ids":[${ids.join(',')}]` : '';
     const content = JSON.stringify(text);
     const body = form === 'chat' ? `"delta":{"content":${content}}` : `"text":${content}`;
     return `"index":0,${body},"logprobs":null${tokenIds},"finish_reason":${finish}`;
@@ -66,7 +66,7 @@
   function sendRole(): void {
     const prompt = takePromptIds();
     const delta = '"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null';
-    response.write(`data: {${head},"choices":[{${delta}}]${prompt}}\n\n`);
+    response.write(`data: {${chunkFields},"choices":[{${delta}}]${prompt}}\n\n`);
   }
 
   function sendTokens(ids: readonly number[], text: string, finish?: FinishReason): void {
@@ -74,13 +74,13 @@
     if (isFirst && form === 'chat') sendRole();
     const prompt = takePromptIds();
     const choice = buildChoice(ids, text, finish === undefined ? 'null' : `"${finish}"`);
-    response.write(`data: {${head},"choices":[{${choice}${prompt}}]${prompt}}\n\n`);
+    response.write(`data: {${chunkFields},"choices":[{${choice}${prompt}}]${prompt}}\n\n`);
   }
 
   function sendEnd(finish: FinishReason, usage: GenerationUsage): void {
     if (options.includesUsage) {
       const body = JSON.stringify(buildUsage(usage));
-      response.write(`data: {${head},"choices":[],"usage":${body}}\n\n`);
+      response.write(`data: {${chunkFields},"choices":[],"usage":${body}}\n\n`);
     }
     response.end('data: [DONE]\n\n');
   }
@@ -93,7 +93,7 @@
   };
 }
 
-function buildHead(options: StreamOptions): string {
+function buildChunkFields(options: StreamOptions): string {
   const { form, model, requestId } = options;
   const object = form === 'chat' ? 'chat.completion.chunk' : 'text_completion';
   const id = getObjectId(form, requestId);
--- a/packages/sequoiarill-standins/src/engine/completions.ts
+++ b/packages/sequoiarill-standins/src/engine/completions.ts
@@ -1,4 +1,4 @@
-/** Requests about generations: start one, resume it, cancel it. */
+/** Handles requests that start, resume or cancel a generation. */
 import { randomUUID } from 'node:crypto';
 import type { ServerResponse } from 'node:http';
 
@@ -28,7 +28,7 @@
   const result = core.startGeneration(requestId, fencingNumber, parsed.request);
   if (result.kind === 'refused') Errors.sendError(response, result.error);
   else if (parsed.request.isStream) sendStream(core, result.generation, parsed.request, response);
-  else await sendWhole(core, result.generation, parsed.request, response);
+  else await sendFullAnswer(core, result.generation, parsed.request, response);
 }
 
 function sendStream(
@@ -59,17 +59,18 @@
   response.flushHeaders();
   response.on('close', () => core.registry.removeStream(generation, stream));
   core.registry.addStream(generation, stream, startingAfter);
-  // The reader left while the engine was paused: its `close` event has passed already.
+  // If the client disconnected while the engine was paused, the `close` event was emitted before
+  // the listener was added.
   if (response.destroyed) core.registry.removeStream(generation, stream);
 }
 
-async function sendWhole(
+async function sendFullAnswer(
   core: EngineCore,
   generation: Generation,
   request: Requests.CompletionRequest,
   response: ServerResponse,
 ): Promise<void> {
-  const finishReason = await waitEnd(core, generation, response);
+  const finishReason = await waitUntilEnded(core, generation, response);
   if (finishReason === undefined) {
     const message = 'the generation was stopped by another order';
     const error = { status: STOPPED_STATUS, message, type: 'conflict_error', code: 'stopped' };
@@ -78,11 +79,11 @@
   }
   const { form, returnsTokenIds } = request;
   const headers = { 'x-request-id': generation.requestId };
-  Http.sendJson(response, 200, buildWhole(form, generation, returnsTokenIds), headers);
+  Http.sendJson(response, 200, buildFullAnswer(form, generation, returnsTokenIds), headers);
 }
 
-/** Ends with the finish reason, or with none when the generation was stopped. */
-function waitEnd(
+/** Resolves with the finish reason, or with `undefined` if the generation was stopped. */
+function waitUntilEnded(
   core: EngineCore,
   generation: Generation,
   response: ServerResponse,
@@ -100,7 +101,7 @@
   });
 }
 
-function buildWhole(
+function buildFullAnswer(
   form: Chunks.ChunkForm,
   generation: Generation,
   returnsTokenIds: boolean,
@@ -122,7 +123,10 @@
   };
 }
 
-/** `GET /v1/completions/{request-id}`: what is there already, then what comes. */
+/**
+ * `GET /v1/completions/{request-id}`: sends the tokens produced so far, then new ones as they are
+ * produced.
+ */
 export function handleResume(core: EngineCore, requestId: string, exchange: Http.Exchange): void {
   const { request, response } = exchange;
   const query = exchange.url.searchParams;
@@ -130,17 +134,17 @@
   const generation = core.registry.findGeneration(requestId);
   const error =
     core.checkFencing(requestId, Requests.parseFencingNumber(request)) ??
-    findResumeFault(generation, requestId, startingAfter);
+    findResumeError(generation, requestId, startingAfter);
   if (error !== undefined) Errors.sendError(response, error);
   else if (generation !== undefined && query.get('stream') === 'true') {
     core.counters.addCount('resumed');
-    sendRest(core, generation, response, startingAfter);
+    sendRemainingStream(core, generation, response, startingAfter);
   } else if (generation !== undefined) {
-    Http.sendJson(response, 200, buildWhole('completion', generation, true));
+    Http.sendJson(response, 200, buildFullAnswer('completion', generation, true));
   }
 }
 
-function sendRest(
+function sendRemainingStream(
   core: EngineCore,
   generation: Generation,
   response: ServerResponse,
@@ -156,7 +160,7 @@
   openStream(core, generation, stream, response, startingAfter);
 }
 
-function findResumeFault(
+function findResumeError(
   generation: Generation | undefined,
   requestId: string,
   startingAfter: number,
--- a/packages/sequoiarill-standins/src/engine/core.ts
+++ b/packages/sequoiarill-standins/src/engine/core.ts
@@ -1,4 +1,6 @@
-/** The engine behind its HTTP interface: scheduler, cache, fencing and generations put together. */
+/**
+ * The engine without its HTTP interface: combines scheduler, prefix cache, fencing and generations.
+ */
 import * as CacheEvents from './cacheEvents';
 import * as Counters from './counters';
 import * as Errors from './errors';
@@ -21,7 +23,7 @@
   readonly waiting: number;
   readonly slots: number;
   readonly draining: boolean;
-  /** Rises with each start; what an engine of another incarnation knew is gone. */
+  /** Increases with each start; the state of an earlier incarnation is lost. */
   readonly incarnation: number;
 }
 
@@ -37,12 +39,14 @@
     fencingNumber: number,
     request: CompletionRequest,
   ) => StartResult;
-  /** The error to answer with, when the number is an old one and the engine checks. */
+  /**
+   * Returns the error to respond with if the engine checks fencing numbers and this one is stale.
+   */
   readonly checkFencing: (key: string, fencingNumber: number) => Errors.EngineError | undefined;
   readonly isDraining: () => boolean;
   readonly setDraining: (draining: boolean) => void;
   readonly getLoad: () => EngineLoad;
-  /** Loses all memory and starts a new incarnation. */
+  /** Discards all state and starts a new incarnation. */
   readonly clear: () => void;
 }
 
@@ -89,18 +93,18 @@
 
   function checkFencing(key: string, fencingNumber: number): Errors.EngineError | undefined {
     if (!settings.checksFencing) return undefined;
-    const verdict = fencing.checkNumber(key, fencingNumber);
-    if (verdict === 'newer') registry.stopOlder(key, fencingNumber);
-    if (verdict !== 'stale') return undefined;
+    const result = fencing.checkNumber(key, fencingNumber);
+    if (result === 'newer') registry.stopOlder(key, fencingNumber);
+    if (result !== 'stale') return undefined;
     counters.addCount('staleRefused');
     return Errors.buildStaleFencing(key);
   }
 
   function findRefusal(request: CompletionRequest): Errors.EngineError | undefined {
     if (!models.hasModel(request.model)) return Errors.buildModelNotFound(request.model);
-    const asked = request.promptIds.length + (request.maxTokens ?? 1);
-    if (asked > settings.contextTokens) {
-      return Errors.buildContextExceeded(settings.contextTokens, asked);
+    const requestedTokens = request.promptIds.length + (request.maxTokens ?? 1);
+    if (requestedTokens > settings.contextTokens) {
+      return Errors.buildContextExceeded(settings.contextTokens, requestedTokens);
     }
     return draining ? Errors.buildOverloaded('it drains') : undefined;
   }
--- a/packages/sequoiarill-standins/src/engine/counters.ts
+++ b/packages/sequoiarill-standins/src/engine/counters.ts
@@ -1,18 +1,21 @@
-/** What an engine did since it was created; kept over deaths, for tests to compare with. */
+/**
+ * Counts what an engine did since it was created; retained over simulated crashes so that tests can
+ * check it.
+ */
 export interface EngineCounters {
-  /** Generations asked for, also those refused. */
+  /** Requested generations, including refused ones. */
   readonly requests: number;
   readonly tokensGenerated: number;
-  /** Prompt tokens that were computed. */
+  /** Prompt tokens that needed prefill. */
   readonly tokensPrefilled: number;
-  /** Prompt tokens that the prefix cache spared. */
+  /** Prompt tokens that were found in the prefix cache. */
   readonly prefillCached: number;
-  /** Generations ended by a cancel order. */
+  /** Generations ended by a cancel command. */
   readonly cancelled: number;
-  /** Generations ended because no reader came back in time. */
+  /** Generations ended because no reader reconnected in time. */
   readonly abandoned: number;
   readonly resumed: number;
-  /** Orders refused for an old fencing number. */
+  /** Requests and commands refused for a stale fencing number. */
   readonly staleRefused: number;
 }
 
--- a/packages/sequoiarill-standins/src/engine/engine.ts
+++ b/packages/sequoiarill-standins/src/engine/engine.ts
@@ -1,4 +1,4 @@
-/** A model engine for tests and the demonstration: published interface, deterministic tokens. */
+/** Stand-in for a model engine, for tests and the demo: published API, deterministic tokens. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import * as Control from '../shared/control';
@@ -17,14 +17,15 @@
 export interface EngineStandin {
   readonly start: () => Promise<{ readonly address: string }>;
   readonly stop: () => Promise<void>;
-  /** Ends when the fault is in force. */
+  /** Resolves when the fault is in effect. */
   readonly setFault: (fault: EngineFault) => Promise<void>;
   readonly getCounters: () => EngineCounters;
-  /** The load as it is now, without the lag of `GET /load`. */
+  /** Returns the current load, without the lag of `GET /load`. */
   readonly getLoad: () => Cores.EngineLoad;
 }
 
-interface TokenLimit {
+/** A fault that takes effect once a generation has produced `count` tokens. */
+interface TokenFault {
   readonly kind: 'die' | 'stall';
   readonly count: number;
   readonly reviveAfterMs?: number;
@@ -33,7 +34,7 @@
 export function createEngineStandin(input: Settings.EngineSettingsInput = {}): EngineStandin {
   const settings = Settings.engineSettingsSchema.parse(input);
   const gate = Waiting.createGate();
-  const revival = Waiting.createLaterTask();
+  const reviveTask = Waiting.createDeferredTask();
   const core = Cores.createEngineCore(settings, handleTokens);
   const control: Control.ControlOptions<EngineFault> = {
     schema: Faults.engineFaultSchema,
@@ -41,36 +42,37 @@
     getCounters: core.counters.getCounters,
   };
   const server = Servers.createStandinServer(settings.listen, handleRequest);
-  let toldLoad = core.getLoad();
+  let reportedLoad = core.getLoad();
   let loadTimer: NodeJS.Timeout | undefined;
   let failsFast = false;
-  let tokenLimit: TokenLimit | undefined;
+  let tokenFault: TokenFault | undefined;
 
   function handleTokens(generation: Generation): void {
-    if (tokenLimit === undefined || generation.getOutputIds().length < tokenLimit.count) return;
+    if (tokenFault === undefined || generation.getOutputIds().length < tokenFault.count) return;
     core.scheduler.setPaused(true);
-    const { kind, reviveAfterMs } = tokenLimit;
-    tokenLimit = undefined;
-    // What was written in this step still goes out: sockets are flushed at the end of the tick.
-    if (kind === 'die') setImmediate(() => failEngine(reviveAfterMs));
+    const { kind, reviveAfterMs } = tokenFault;
+    tokenFault = undefined;
+    // Waits so that bytes written in this step are still sent: sockets are flushed at the end of
+    // the tick.
+    if (kind === 'die') setImmediate(() => simulateCrash(reviveAfterMs));
   }
 
-  function failEngine(reviveAfterMs: number | undefined): void {
+  function simulateCrash(reviveAfterMs: number | undefined): void {
     server.refuseConnections();
     core.clear();
-    if (reviveAfterMs !== undefined) revival.delay(reviveAfterMs, resumeEngine);
+    if (reviveAfterMs !== undefined) reviveTask.delay(reviveAfterMs, simulateRestart);
   }
 
   function removeFaults(): void {
     failsFast = false;
-    tokenLimit = undefined;
+    tokenFault = undefined;
     core.setDraining(false);
-    core.scheduler.setSlowness(1);
+    core.scheduler.setSlowdown(1);
     core.scheduler.setPaused(false);
     gate.open();
   }
 
-  async function resumeEngine(): Promise<void> {
+  async function simulateRestart(): Promise<void> {
     server.refuseConnections();
     core.clear();
     removeFaults();
@@ -84,23 +86,23 @@
     } else if (fault.kind === 'unpause') {
       core.scheduler.setPaused(false);
       gate.open();
-    } else if (fault.kind === 'slow') core.scheduler.setSlowness(fault.factor);
-    else if (fault.kind === 'dieAfterTokens') tokenLimit = { ...fault, kind: 'die' };
-    else if (fault.kind === 'stallAfterTokens') tokenLimit = { ...fault, kind: 'stall' };
+    } else if (fault.kind === 'slow') core.scheduler.setSlowdown(fault.factor);
+    else if (fault.kind === 'dieAfterTokens') tokenFault = { ...fault, kind: 'die' };
+    else if (fault.kind === 'stallAfterTokens') tokenFault = { ...fault, kind: 'stall' };
     else if (fault.kind === 'failFast') failsFast = true;
     else if (fault.kind === 'drain') core.setDraining(true);
     else if (fault.kind === 'heal') removeFaults();
   }
 
   async function setFault(fault: EngineFault): Promise<void> {
-    if (fault.kind === 'die') failEngine(fault.reviveAfterMs);
-    else if (fault.kind === 'revive') await resumeEngine();
+    if (fault.kind === 'die') simulateCrash(fault.reviveAfterMs);
+    else if (fault.kind === 'revive') await simulateRestart();
     else applyFault(fault);
   }
 
   async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const exchange = await Http.readExchange(request, response);
-    if (Control.isControl(exchange)) {
+    if (Control.isControlRequest(exchange)) {
       await Control.handleControl(control, exchange);
       return;
     }
@@ -108,17 +110,17 @@
     await gate.waitOpen();
     if (core.getLoad().incarnation !== incarnation) return;
     if (failsFast) Errors.sendError(response, Errors.buildOverloaded('it fails everything'));
-    else await Routes.handleEngineRequest({ core, getToldLoad }, exchange);
+    else await Routes.handleEngineRequest({ core, getReportedLoad }, exchange);
   }
 
-  function getToldLoad(): Cores.EngineLoad {
-    return settings.loadLagMs === 0 ? core.getLoad() : toldLoad;
+  function getReportedLoad(): Cores.EngineLoad {
+    return settings.loadLagMs === 0 ? core.getLoad() : reportedLoad;
   }
 
   async function start(): Promise<{ readonly address: string }> {
     loadTimer ??= setInterval(
       () => {
-        toldLoad = core.getLoad();
+        reportedLoad = core.getLoad();
       },
       Math.max(1, settings.loadLagMs),
     ).unref();
@@ -126,7 +128,7 @@
   }
 
   async function stop(): Promise<void> {
-    revival.cancel();
+    reviveTask.cancel();
     clearInterval(loadTimer);
     loadTimer = undefined;
     const stopped = server.stop();
--- a/packages/sequoiarill-standins/src/engine/errors.ts
+++ b/packages/sequoiarill-standins/src/engine/errors.ts
@@ -1,4 +1,4 @@
-/** Errors in the form of the published interfaces. */
+/** Errors in the format of the published APIs. */
 import type { ServerResponse } from 'node:http';
 
 import * as Http from '../shared/http';
@@ -23,10 +23,10 @@
   return { status: 400, message, type: 'invalid_request_error', code: 'invalid_request', param };
 }
 
-export function buildContextExceeded(contextTokens: number, asked: number): EngineError {
+export function buildContextExceeded(contextTokens: number, requestedTokens: number): EngineError {
   return {
     status: 400,
-    message: `this model's context is ${contextTokens} tokens, but ${asked} were asked for`,
+    message: `this model's context is ${contextTokens} tokens, but ${requestedTokens} were asked for`,
     type: 'invalid_request_error',
     code: 'context_length_exceeded',
     param: 'messages',
--- a/packages/sequoiarill-standins/src/engine/faults.ts
+++ b/packages/sequoiarill-standins/src/engine/faults.ts
@@ -1,35 +1,38 @@
-/** Faults that an engine stand-in can be told to show. */
+/** Faults that can be injected into the engine stand-in. */
 import * as Zod from 'zod';
 
 const tokenCountSchema = Zod.number().int().min(0);
 
-/** Milliseconds after which the stand-in comes back by itself; without it, `revive` does. */
-const reviveAfterSchema = Zod.number().int().min(0).optional();
+/** Milliseconds after which the stand-in restarts; without it, only `revive` restarts it. */
+const reviveAfterMsSchema = Zod.number().int().min(0).optional();
 
 export const engineFaultSchema = Zod.discriminatedUnion('kind', [
-  /** Every connection is cut and new ones are refused; all state is lost. */
-  Zod.strictObject({ kind: Zod.literal('die'), reviveAfterMs: reviveAfterSchema }),
-  /** Back on the same port with a new incarnation; ends every other fault too. */
+  /** Simulates a crash: closes every connection, refuses new ones and loses all state. */
+  Zod.strictObject({ kind: Zod.literal('die'), reviveAfterMs: reviveAfterMsSchema }),
+  /** Restarts on the same port as a new incarnation and clears every other fault. */
   Zod.strictObject({ kind: Zod.literal('revive') }),
-  /** Nothing moves and nothing is answered; connections stay open. */
+  /** Pauses the process: nothing is generated or answered, but connections stay open. */
   Zod.strictObject({ kind: Zod.literal('pause') }),
-  /** Ends `pause` and a stall. */
+  /** Clears `pause` and `stallAfterTokens`. */
   Zod.strictObject({ kind: Zod.literal('unpause') }),
-  /** Steps take so many times longer; 1 ends it. */
+  /** Steps take `factor` times as long; 1 clears the fault. */
   Zod.strictObject({ kind: Zod.literal('slow'), factor: Zod.number().positive() }),
-  /** Dies as soon as any stream has produced so many tokens. */
+  /** Simulates a crash as soon as any generation has produced `count` tokens. */
   Zod.strictObject({
     kind: Zod.literal('dieAfterTokens'),
     count: tokenCountSchema,
-    reviveAfterMs: reviveAfterSchema,
+    reviveAfterMs: reviveAfterMsSchema,
   }),
-  /** No token more for anyone once a stream has so many, while everything else is answered. */
+  /**
+   * Stalls all generations once one has produced `count` tokens, while other requests are still
+   * answered.
+   */
   Zod.strictObject({ kind: Zod.literal('stallAfterTokens'), count: tokenCountSchema }),
-  /** Everything is answered 503 at once. */
+  /** Answers every request with 503 at once. */
   Zod.strictObject({ kind: Zod.literal('failFast') }),
-  /** No new generation; those in progress go on. */
+  /** Refuses new generations; those in progress continue. */
   Zod.strictObject({ kind: Zod.literal('drain') }),
-  /** Ends every fault but `die`. */
+  /** Clears every fault except `die`. */
   Zod.strictObject({ kind: Zod.literal('heal') }),
 ]);
 
--- a/packages/sequoiarill-standins/src/engine/fencing.ts
+++ b/packages/sequoiarill-standins/src/engine/fencing.ts
@@ -1,30 +1,30 @@
-/** Remembers the highest fencing number seen for each request or order. */
-export type FencingVerdict = 'newer' | 'current' | 'stale';
+/** Records the highest fencing number seen for each request or command. */
+export type FencingResult = 'newer' | 'current' | 'stale';
 
 export interface FencingRecord {
-  /** Compares and, unless it is stale, remembers the number. */
-  readonly checkNumber: (key: string, fencingNumber: number) => FencingVerdict;
+  /** Compares the number with the highest so far and, unless it is stale, records it. */
+  readonly checkNumber: (key: string, fencingNumber: number) => FencingResult;
   readonly clear: () => void;
 }
 
-/** Far more than any test has requests; the oldest are forgotten first. */
+/** Far above the number of requests in any test; the oldest keys are discarded first. */
 const MAX_KEYS = 100_000;
 
 export function createFencingRecord(): FencingRecord {
-  const highest = new Map<string, number>();
+  const highestByKey = new Map<string, number>();
 
-  function checkNumber(key: string, fencingNumber: number): FencingVerdict {
-    const known = highest.get(key);
-    if (known === fencingNumber) return 'current';
-    if (known !== undefined && fencingNumber < known) return 'stale';
-    highest.delete(key);
-    highest.set(key, fencingNumber);
-    for (const oldest of highest.keys()) {
-      if (highest.size <= MAX_KEYS) break;
-      highest.delete(oldest);
+  function checkNumber(key: string, fencingNumber: number): FencingResult {
+    const highestSeen = highestByKey.get(key);
+    if (highestSeen === fencingNumber) return 'current';
+    if (highestSeen !== undefined && fencingNumber < highestSeen) return 'stale';
+    highestByKey.delete(key);
+    highestByKey.set(key, fencingNumber);
+    for (const oldest of highestByKey.keys()) {
+      if (highestByKey.size <= MAX_KEYS) break;
+      highestByKey.delete(oldest);
     }
     return 'newer';
   }
 
-  return { checkNumber, clear: () => highest.clear() };
+  return { checkNumber, clear: () => highestByKey.clear() };
 }
--- a/packages/sequoiarill-standins/src/engine/generation.ts
+++ b/packages/sequoiarill-standins/src/engine/generation.ts
@@ -1,4 +1,4 @@
-/** One generation in an engine: what it has produced, and the streams that read it. */
+/** One generation in an engine: its output so far and the streams that read it. */
 import * as Hashes from './hashes';
 import * as Vocabulary from './vocabulary';
 
@@ -12,9 +12,9 @@
   readonly cachedTokens: number;
 }
 
-/** A reader of a generation; it is told of each token in order, and of the end. */
+/** A reader of a generation; receives each token in order, then the end. */
 export interface GenerationStream {
-  /** Whether the reader takes its bytes more slowly than they are made. */
+  /** Whether the reader consumes bytes more slowly than they are produced. */
   readonly isBlocked: () => boolean;
   readonly sendTokens: (ids: readonly number[], text: string, finish?: FinishReason) => void;
   readonly sendEnd: (finish: FinishReason, usage: GenerationUsage) => void;
@@ -39,23 +39,26 @@
   readonly getUsage: () => GenerationUsage;
   readonly isBlocked: () => boolean;
   readonly hasStreams: () => boolean;
-  /** Leaves the waiting queue; `cachedTokens` of the prompt need no prefill. */
+  /** Moves from the waiting queue to a slot; `cachedTokens` of the prompt need no prefill. */
   readonly start: (cachedTokens: number) => void;
-  /** Uses up to `budget` tokens of prefill and returns how many it used. */
+  /** Prefills up to `budget` tokens and returns how many it prefilled. */
   readonly runPrefill: (budget: number) => number;
-  /** Whether the prompt is processed, so that each step gives a token. */
+  /** Whether prefill is complete, so that each step produces a token. */
   readonly isPrefilled: () => boolean;
-  /** Produces one token, or the end; returns how many tokens came of it. */
+  /** Produces one token or the end; returns the number of tokens produced. */
   readonly runStep: () => number;
-  /** Ends it at once, without a finish reason. */
+  /** Ends the generation at once, without a finish reason. */
   readonly stop: () => void;
-  /** Sends all after the first `startingAfter` output tokens, now and as they come. */
+  /**
+   * Sends all output tokens after the first `startingAfter`: earlier ones now, later ones as they
+   * are produced.
+   */
   readonly addStream: (stream: GenerationStream, startingAfter: number) => void;
   readonly removeStream: (stream: GenerationStream) => void;
 }
 
-/** Tokens in one chunk when a stream catches up with what was already produced. */
-const CATCH_UP_TOKENS = 32;
+/** Tokens in one chunk while a stream receives output that was produced before it was added. */
+const CATCH_UP_CHUNK_TOKENS = 32;
 
 export function createGeneration(options: GenerationOptions): Generation {
   const { promptIds, maxTokens, model } = options;
@@ -101,15 +104,15 @@
     return 1;
   }
 
-  function sendPast(stream: GenerationStream, startingAfter: number): void {
-    for (let from = startingAfter; from < outputIds.length; from += CATCH_UP_TOKENS) {
-      const to = from + CATCH_UP_TOKENS;
+  function sendProducedTokens(stream: GenerationStream, startingAfter: number): void {
+    for (let from = startingAfter; from < outputIds.length; from += CATCH_UP_CHUNK_TOKENS) {
+      const to = from + CATCH_UP_CHUNK_TOKENS;
       stream.sendTokens(outputIds.slice(from, to), texts.slice(from, to).join(''));
     }
   }
 
   function addStream(stream: GenerationStream, startingAfter: number): void {
-    sendPast(stream, startingAfter);
+    sendProducedTokens(stream, startingAfter);
     if (finishReason !== undefined) {
       stream.sendTokens([], '', finishReason);
       stream.sendEnd(finishReason, getUsage());
--- a/packages/sequoiarill-standins/src/engine/hashes.ts
+++ b/packages/sequoiarill-standins/src/engine/hashes.ts
@@ -1,6 +1,6 @@
 /**
- * Small 32-bit hashes. Every engine of a fleet computes the same ones, which is what lets one engine
- * go on exactly where another stopped.
+ * 32-bit hashes. Every engine of a fleet computes the same values, so that one engine can continue
+ * exactly where another stopped.
  */
 /* eslint-disable no-bitwise -- hashing is arithmetic on bits */
 
@@ -8,7 +8,7 @@
 const MULTIPLIER_B = 0xc2b2_ae35;
 const UINT32_RANGE = 0x1_0000_0000;
 
-/** Takes one more number into a rolling hash; the result is an unsigned 32-bit number. */
+/** Adds one number to a rolling hash; the result is an unsigned 32-bit number. */
 export function hashNumber(hash: number, value: number): number {
   let mixed = Math.imul(hash ^ (value + 0x9e37_79b9), MULTIPLIER_A);
   mixed ^= mixed >>> 13;
@@ -24,7 +24,7 @@
   return hash;
 }
 
-/** The hash as a fraction in [0, 1). */
+/** Maps the hash to a fraction in [0, 1). */
 export function computeFraction(hash: number): number {
   return hash / UINT32_RANGE;
 }
--- a/packages/sequoiarill-standins/src/engine/index.ts
+++ b/packages/sequoiarill-standins/src/engine/index.ts
@@ -1,4 +1,4 @@
-/** Model engine stand-in. */
+/** Stand-in for a model engine. */
 export * from './engine';
 export type { EngineCounters } from './counters';
 export type { EngineLoad } from './core';
--- a/packages/sequoiarill-standins/src/engine/models.ts
+++ b/packages/sequoiarill-standins/src/engine/models.ts
@@ -1,13 +1,13 @@
-/** Which models an engine has loaded, and the orders that change it. */
+/** The models that an engine has loaded, and the commands that load and unload them. */
 import * as Waiting from '../shared/waiting';
 
 export interface ModelSet {
   readonly hasModel: (model: string) => boolean;
   readonly listModels: () => readonly string[];
-  /** Ends when the model is there, after the time that loading takes. */
+  /** Resolves once the model is loaded. */
   readonly loadModel: (model: string) => Promise<void>;
   readonly removeModel: (model: string) => Promise<void>;
-  /** As at the start of the process. */
+  /** Restores the models that were loaded at the start of the process. */
   readonly clear: () => void;
 }
 
--- a/packages/sequoiarill-standins/src/engine/prefixCache.ts
+++ b/packages/sequoiarill-standins/src/engine/prefixCache.ts
@@ -1,10 +1,10 @@
-/** The prefix cache of an engine: blocks of tokens, least recently used forgotten first. */
+/** The prefix cache of an engine: blocks of tokens, evicted in least recently used order. */
 import * as Hashes from './hashes';
 
-/** Tokens in one block; only whole blocks are cached, as published engines do. */
+/** Tokens in one block; only complete blocks are cached, as in published engines. */
 export const BLOCK_TOKENS = 16;
 
-const HEX = 16;
+const HEX_RADIX = 16;
 const HASH_DIGITS = 8;
 const SECOND_SEED = 0x2545_f491;
 
@@ -20,25 +20,25 @@
 }
 
 export interface PrefixCache {
-  /** Tokens at the front of the prompt that need no prefill. */
+  /** Counts the tokens at the start of the prompt that need no prefill. */
   readonly findCachedTokens: (model: string, ids: readonly number[]) => number;
   readonly addSequence: (model: string, ids: readonly number[]) => void;
   readonly clear: () => void;
 }
 
-/** Hashes of the whole blocks of a sequence; each one stands for all tokens up to its end. */
+/** Lists the complete blocks of a sequence; the hash of each covers all tokens up to its end. */
 export function listBlocks(model: string, ids: readonly number[]): readonly CacheBlock[] {
   const blocks: CacheBlock[] = [];
-  let first = Hashes.hashText(model, 1);
-  let second = Hashes.hashText(model, SECOND_SEED);
+  let firstHash = Hashes.hashText(model, 1);
+  let secondHash = Hashes.hashText(model, SECOND_SEED);
   for (let end = BLOCK_TOKENS; end <= ids.length; end += BLOCK_TOKENS) {
     const tokenIds = ids.slice(end - BLOCK_TOKENS, end);
     for (const id of tokenIds) {
-      first = Hashes.hashNumber(first, id);
-      second = Hashes.hashNumber(second, id);
+      firstHash = Hashes.hashNumber(firstHash, id);
+      secondHash = Hashes.hashNumber(secondHash, id);
     }
     blocks.push({
-      hash: formatHash(first) + formatHash(second),
+      hash: formatHash(firstHash) + formatHash(secondHash),
       parentHash: blocks.at(-1)?.hash,
       tokenIds,
     });
@@ -47,23 +47,23 @@
 }
 
 function formatHash(hash: number): string {
-  return hash.toString(HEX).padStart(HASH_DIGITS, '0');
+  return hash.toString(HEX_RADIX).padStart(HASH_DIGITS, '0');
 }
 
 export function createPrefixCache(cacheTokens: number, listener: CacheListener): PrefixCache {
   const capacity = Math.floor(cacheTokens / BLOCK_TOKENS);
-  /** Hash to model, in the order of use. */
-  const stored = new Map<string, string>();
+  /** Model of each cached block by its hash, ordered from least to most recently used. */
+  const modelsByHash = new Map<string, string>();
 
   function markUsed(model: string, hash: string): void {
-    stored.delete(hash);
-    stored.set(hash, model);
+    modelsByHash.delete(hash);
+    modelsByHash.set(hash, model);
   }
 
   function findCachedTokens(model: string, ids: readonly number[]): number {
     let cached = 0;
     for (const block of listBlocks(model, ids)) {
-      if (!stored.has(block.hash)) break;
+      if (!modelsByHash.has(block.hash)) break;
       markUsed(model, block.hash);
       cached += BLOCK_TOKENS;
     }
@@ -71,20 +71,20 @@
   }
 
   function removeOldest(): void {
-    for (const [hash, model] of stored) {
-      if (stored.size <= capacity) return;
-      stored.delete(hash);
+    for (const [hash, model] of modelsByHash) {
+      if (modelsByHash.size <= capacity) return;
+      modelsByHash.delete(hash);
       listener.onRemoved(model, [hash]);
     }
   }
 
   function addSequence(model: string, ids: readonly number[]): void {
     const blocks = listBlocks(model, ids).slice(0, capacity);
-    const added = blocks.filter((block) => !stored.has(block.hash));
+    const added = blocks.filter((block) => !modelsByHash.has(block.hash));
     for (const block of blocks) markUsed(model, block.hash);
     if (added.length > 0) listener.onStored(model, added);
     removeOldest();
   }
 
-  return { findCachedTokens, addSequence, clear: () => stored.clear() };
+  return { findCachedTokens, addSequence, clear: () => modelsByHash.clear() };
 }
--- a/packages/sequoiarill-standins/src/engine/registry.ts
+++ b/packages/sequoiarill-standins/src/engine/registry.ts
@@ -1,46 +1,54 @@
-/** The generations of an engine by request id: fencing, resuming, cancelling and forgetting. */
+/**
+ * The generations of an engine by request id: stops, cancels and resumes them, and removes unread
+ * ones.
+ */
 import type { Generation, GenerationStream } from './generation';
 import type { Scheduler } from './scheduler';
 
 export interface RegistryOptions {
   readonly scheduler: Scheduler;
   readonly holdMs: number;
-  /** Nobody came back for a generation in time, and it was ended. */
+  /** Called when a generation was ended because no reader reconnected in time. */
   readonly onAbandoned: (generation: Generation) => void;
 }
 
 export interface GenerationRegistry {
-  /** False when the engine takes no more. */
+  /** Returns false if the engine accepts no more generations. */
   readonly addGeneration: (generation: Generation) => boolean;
   readonly findGeneration: (requestId: string) => Generation | undefined;
-  /** Ends all of the request that carry a lower fencing number. */
+  /** Stops all generations of the request that have a lower fencing number. */
   readonly stopOlder: (requestId: string, fencingNumber: number) => void;
-  /** Ends all of the request; returns how many tokens the newest had, or `undefined`. */
+  /**
+   * Stops all generations of the request; returns the output tokens of the newest, `undefined` if
+   * there is none.
+   */
   readonly cancelRequest: (requestId: string) => number | undefined;
   readonly addStream: (
     generation: Generation,
     stream: GenerationStream,
     startingAfter: number,
   ) => void;
-  /** The reader has gone; the generation goes on for a while. */
+  /** Removes a reader that disconnected; without readers, the generation continues for `holdMs`. */
   readonly removeStream: (generation: Generation, stream: GenerationStream) => void;
-  /** To be called when a generation left its slot. */
+  /** Must be called when a generation has left its slot. */
   readonly handleEnded: (generation: Generation) => void;
   readonly clear: () => void;
 }
 
 export function createGenerationRegistry(options: RegistryOptions): GenerationRegistry {
   const { scheduler, holdMs } = options;
+  /** Newest generation of each request. */
   const newest = new Map<string, Generation>();
-  const timers = new Map<Generation, NodeJS.Timeout>();
+  /** Timers that remove generations without readers. */
+  const removalTimers = new Map<Generation, NodeJS.Timeout>();
 
   function stopTimer(generation: Generation): void {
-    clearTimeout(timers.get(generation));
-    timers.delete(generation);
+    clearTimeout(removalTimers.get(generation));
+    removalTimers.delete(generation);
   }
 
   function removeGeneration(generation: Generation): void {
-    timers.delete(generation);
+    removalTimers.delete(generation);
     if (newest.get(generation.requestId) === generation) newest.delete(generation.requestId);
     if (generation.getState() === 'running' || generation.getState() === 'waiting') {
       generation.stop();
@@ -52,10 +60,10 @@
     stopTimer(generation);
     const timer = setTimeout(() => removeGeneration(generation), holdMs);
     timer.unref();
-    timers.set(generation, timer);
+    removalTimers.set(generation, timer);
   }
 
-  function listOfRequest(requestId: string): readonly Generation[] {
+  function listByRequest(requestId: string): readonly Generation[] {
     const all = scheduler.listGenerations();
     return all.filter((generation) => generation.requestId === requestId);
   }
@@ -68,13 +76,13 @@
     },
     findGeneration: (requestId) => newest.get(requestId),
     stopOlder(requestId, fencingNumber) {
-      for (const generation of listOfRequest(requestId)) {
+      for (const generation of listByRequest(requestId)) {
         if (generation.fencingNumber < fencingNumber) generation.stop();
       }
     },
     cancelRequest(requestId) {
       const generation = newest.get(requestId);
-      for (const other of listOfRequest(requestId)) other.stop();
+      for (const other of listByRequest(requestId)) other.stop();
       return generation?.getOutputIds().length;
     },
     addStream(generation, stream, startingAfter) {
@@ -89,8 +97,8 @@
     handleEnded: startTimer,
     clear() {
       for (const generation of scheduler.listGenerations()) generation.stop();
-      for (const timer of timers.values()) clearTimeout(timer);
-      timers.clear();
+      for (const timer of removalTimers.values()) clearTimeout(timer);
+      removalTimers.clear();
       newest.clear();
     },
   };
--- a/packages/sequoiarill-standins/src/engine/requests.ts
+++ b/packages/sequoiarill-standins/src/engine/requests.ts
@@ -1,4 +1,4 @@
-/** Checked bodies of the completion requests. */
+/** Parses and validates the bodies of completion requests. */
 import type { IncomingMessage } from 'node:http';
 
 import * as Zod from 'zod';
@@ -106,7 +106,7 @@
   return buildRequest(form, result.data, promptIds);
 }
 
-/** The `x-fencing-number` of an order; one without it counts as 0. */
+/** The `x-fencing-number` of a request or command; 0 if it is missing or not an integer. */
 export function parseFencingNumber(request: IncomingMessage): number {
   const fencingNumber = Number(request.headers['x-fencing-number'] ?? 0);
   return Number.isSafeInteger(fencingNumber) ? fencingNumber : 0;
--- a/packages/sequoiarill-standins/src/engine/routes.ts
+++ b/packages/sequoiarill-standins/src/engine/routes.ts
@@ -1,4 +1,4 @@
-/** The paths of the engine stand-in. */
+/** Routes of the engine stand-in. */
 import type { ServerResponse } from 'node:http';
 
 import * as Zod from 'zod';
@@ -12,12 +12,12 @@
 const RESUME_PATH = /^\/v1\/completions\/([^/]+)$/;
 const CANCEL_PATH = /^\/v1\/completions\/([^/]+)\/cancel$/;
 
-const modelOrderSchema = Zod.looseObject({ model: Zod.string().min(1) });
+const modelCommandSchema = Zod.looseObject({ model: Zod.string().min(1) });
 
 export interface EngineRoutes {
   readonly core: EngineCore;
-  /** The load as it is told, which lags behind. */
-  readonly getToldLoad: () => EngineLoad;
+  /** Returns the load as `GET /load` reports it, which may lag behind. */
+  readonly getReportedLoad: () => EngineLoad;
 }
 
 export async function handleEngineRequest(
@@ -34,28 +34,28 @@
   pathname: string,
   exchange: Http.Exchange,
 ): Promise<void> {
-  const cancelled = CANCEL_PATH.exec(pathname)?.[1];
+  const cancelledId = CANCEL_PATH.exec(pathname)?.[1];
   if (pathname === '/v1/chat/completions') {
     await Completions.handleCompletion(core, 'chat', exchange);
   } else if (pathname === '/v1/completions') {
     await Completions.handleCompletion(core, 'completion', exchange);
   } else if (pathname === '/v1/models/load' || pathname === '/v1/models/unload') {
-    await handleModelOrder(core, pathname === '/v1/models/load', exchange);
-  } else if (cancelled !== undefined) {
-    Completions.handleCancel(core, decodeURIComponent(cancelled), exchange);
+    await handleModelCommand(core, pathname === '/v1/models/load', exchange);
+  } else if (cancelledId !== undefined) {
+    Completions.handleCancel(core, decodeURIComponent(cancelledId), exchange);
   } else sendNotFound(exchange.response, pathname);
 }
 
 function handleGet(routes: EngineRoutes, pathname: string, exchange: Http.Exchange): void {
   const { core } = routes;
   const { response } = exchange;
-  const resumed = RESUME_PATH.exec(pathname)?.[1];
+  const resumedId = RESUME_PATH.exec(pathname)?.[1];
   if (pathname === '/health') handleHealth(core, response);
-  else if (pathname === '/load') Http.sendJson(response, 200, routes.getToldLoad());
+  else if (pathname === '/load') Http.sendJson(response, 200, routes.getReportedLoad());
   else if (pathname === '/v1/models') Http.sendJson(response, 200, buildModelList(core));
   else if (pathname === '/cache_events') sendCacheEvents(core, exchange);
-  else if (resumed !== undefined) {
-    Completions.handleResume(core, decodeURIComponent(resumed), exchange);
+  else if (resumedId !== undefined) {
+    Completions.handleResume(core, decodeURIComponent(resumedId), exchange);
   } else sendNotFound(exchange.response, pathname);
 }
 
@@ -77,13 +77,13 @@
   Http.sendJson(exchange.response, 200, { incarnation: core.getLoad().incarnation, events });
 }
 
-async function handleModelOrder(
+async function handleModelCommand(
   core: EngineCore,
   isLoad: boolean,
   exchange: Http.Exchange,
 ): Promise<void> {
   const { request, response } = exchange;
-  const parsed = modelOrderSchema.safeParse(Http.parseJson(exchange.body));
+  const parsed = modelCommandSchema.safeParse(Http.parseJson(exchange.body));
   if (!parsed.success) {
     Errors.sendError(response, Errors.buildInvalid('name the model', 'model'));
     return;
--- a/packages/sequoiarill-standins/src/engine/scheduler.ts
+++ b/packages/sequoiarill-standins/src/engine/scheduler.ts
@@ -1,8 +1,9 @@
 /**
  * Continuous batching: one timer steps all running generations together.
  *
- * Load pattern: hundreds of streams in one process. A timer for each stream would cost more than the
- * tokens; one timer for all keeps the stand-in cheap and its streams in step, as real engines are.
+ * Load pattern: hundreds of streams in one process. A timer for each stream would cost more than
+ * producing the tokens; a single timer keeps the stand-in cheap and its streams in step, as in real
+ * engines.
  */
 import type { Generation } from './generation';
 
@@ -14,20 +15,20 @@
   readonly findCachedTokens: (generation: Generation) => number;
   readonly onPrefilled: (generation: Generation) => void;
   readonly onProduced: (generation: Generation, tokens: number) => void;
-  /** The generation left its slot, finished or stopped. */
+  /** Called when a generation has left its slot, finished or stopped. */
   readonly onEnded: (generation: Generation) => void;
 }
 
 export interface Scheduler {
-  /** False when the waiting queue is full. */
+  /** Returns false if the waiting queue is full. */
   readonly addGeneration: (generation: Generation) => boolean;
   readonly listGenerations: () => readonly Generation[];
   readonly getLoad: () => { readonly running: number; readonly waiting: number };
-  /** Steps take so many times longer. */
-  readonly setSlowness: (factor: number) => void;
-  /** No step is made until it is set back. */
+  /** Makes steps take `factor` times as long. */
+  readonly setSlowdown: (factor: number) => void;
+  /** While paused, no steps are run. */
   readonly setPaused: (paused: boolean) => void;
-  /** Forgets everything without telling anyone. */
+  /** Discards all generations without calling `onEnded`. */
   readonly clear: () => void;
 }
 
@@ -37,14 +38,14 @@
   const { slots, maxWaiting } = options;
   const running = new Set<Generation>();
   let waiting: Generation[] = [];
-  let slowness = 1;
+  let slowdownFactor = 1;
   let paused = false;
   let timer: NodeJS.Timeout | undefined;
-  let dueMs = 0;
+  let nextStepAtMs = 0;
 
   function startWaiting(): void {
     while (running.size < slots && waiting.length > 0) {
-      const generation = takeFirst();
+      const generation = takeNext();
       if (generation.getState() === 'waiting') {
         generation.start(options.findCachedTokens(generation));
         running.add(generation);
@@ -52,8 +53,11 @@
     }
   }
 
-  /** A lower number is served first, as in the published engines; equals in order of arrival. */
-  function takeFirst(): Generation {
+  /**
+   * Takes the lowest priority number first, as published engines do, and equal ones in order of
+   * arrival.
+   */
+  function takeNext(): Generation {
     const best = Math.min(...waiting.map((generation) => generation.priority));
     const index = waiting.findIndex((generation) => generation.priority === best);
     return waiting.splice(index, 1)[0] as Generation;
@@ -93,15 +97,15 @@
     startTimer();
   }
 
-  /** Keeps the rate over many steps even when single timers fire late. */
+  /** Maintains the average rate over many steps even if single timers fire late. */
   function startTimer(): void {
     const isIdle = running.size === 0 && waiting.length === 0;
     if (paused || isIdle || timer !== undefined) return;
-    const periodMs = options.stepMs * slowness;
+    const periodMs = options.stepMs * slowdownFactor;
     const nowMs = performance.now();
-    dueMs = Math.max(dueMs + periodMs, nowMs);
-    if (dueMs > nowMs + periodMs) dueMs = nowMs + periodMs;
-    timer = setTimeout(handleTimer, dueMs - nowMs);
+    nextStepAtMs = Math.max(nextStepAtMs + periodMs, nowMs);
+    if (nextStepAtMs > nowMs + periodMs) nextStepAtMs = nowMs + periodMs;
+    timer = setTimeout(handleTimer, nextStepAtMs - nowMs);
   }
 
   function stopTimer(): void {
@@ -123,8 +127,8 @@
       running: running.size,
       waiting: waiting.filter((generation) => generation.getState() === 'waiting').length,
     }),
-    setSlowness(factor) {
-      slowness = factor;
+    setSlowdown(factor) {
+      slowdownFactor = factor;
       stopTimer();
       startTimer();
     },
--- a/packages/sequoiarill-standins/src/engine/settings.ts
+++ b/packages/sequoiarill-standins/src/engine/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the model engine stand-in; every one has a default. */
+/** Settings of the model engine stand-in; each has a default. */
 import * as Zod from 'zod';
 
 import * as SharedSettings from '../shared/settings';
@@ -9,32 +9,38 @@
   listen: SharedSettings.listenSchema,
   /** Models loaded at the start. */
   models: SharedSettings.listSchema.default(['standin-model']),
-  /** One for all engines that shall generate the same tokens. */
+  /** Engines with the same seed and model name generate the same tokens. */
   seed: SharedSettings.createCountSchema(0, 1),
-  /** Chance that an answer ends at a token; 0 for never. */
+  /** Probability that an answer ends at any given token; 0 disables it. */
   eosProbability: Zod.coerce.number<number>().min(0).max(1).default(DEFAULT_END_PROBABILITY),
-  /** Prompt and output together, in tokens. */
+  /** Limit of prompt and output together, in tokens. */
   contextTokens: SharedSettings.createCountSchema(1, 131_072),
   /** Time between two tokens of a stream, in milliseconds. */
   stepMs: SharedSettings.createCountSchema(1, 20),
-  /** Generations that run at once. */
+  /** Generations that run concurrently. */
   slots: SharedSettings.createCountSchema(1, 64),
-  /** Generations that wait for a slot; more are answered 503. */
+  /** Generations that may wait for a slot; further ones are refused with 503. */
   maxWaiting: SharedSettings.createCountSchema(0, 256),
   prefillTokensPerSecond: SharedSettings.createCountSchema(1, 200_000),
-  /** Limit of the prefix cache, in tokens. */
+  /** Capacity of the prefix cache, in tokens. */
   cacheTokens: SharedSettings.createCountSchema(0, 1_000_000),
-  /** Time until cache events are shown, in milliseconds. */
+  /** Delay until cache events are published, in milliseconds. */
   cacheEventDelayMs: SharedSettings.createCountSchema(0, 500),
-  /** Every so-manieth cache event is never shown; 0 for none. */
+  /** Each cache event whose number this divides is never published; 0 disables the gaps. */
   cacheEventGapEvery: SharedSettings.createCountSchema(0, 0),
-  /** Age of what `GET /load` tells, in milliseconds. */
+  /**
+   * Interval at which the load reported by `GET /load` is updated, in milliseconds; 0 reports the
+   * current load.
+   */
   loadLagMs: SharedSettings.createCountSchema(0, 500),
-  /** How long a generation goes on or is kept without a reader, in milliseconds. */
+  /**
+   * How long a generation without a reader continues or, once finished, can be resumed, in
+   * milliseconds.
+   */
   holdMs: SharedSettings.createCountSchema(0, 5_000),
   /** Time to load or unload a model, in milliseconds. */
   loadMs: SharedSettings.createCountSchema(0, 200),
-  /** Whether orders with an old `x-fencing-number` are refused. */
+  /** Whether requests and commands with a stale `x-fencing-number` are refused. */
   checksFencing: SharedSettings.flagSchema,
 });
 
--- a/packages/sequoiarill-standins/src/engine/template.ts
+++ b/packages/sequoiarill-standins/src/engine/template.ts
@@ -1,4 +1,4 @@
-/** Turns messages and text into token ids, always the same way. */
+/** Converts messages and text to token ids deterministically. */
 import * as Hashes from './hashes';
 
 const BEGIN_OF_SEQUENCE = 1;
@@ -7,7 +7,7 @@
 const PIECE_BASE = 10_000;
 const PIECE_COUNT = 100_000;
 const PIECE_SEED = 77;
-/** At most six characters a piece, near what real tokenisers give for running text. */
+/** At most six characters in a piece, close to what real tokenisers produce for prose. */
 const PIECE_PATTERN = /\s?\S{1,6}|\s/gu;
 
 export type TemplateRole = keyof typeof ROLE_IDS;
@@ -22,7 +22,10 @@
   return pieces.map((piece) => PIECE_BASE + (Hashes.hashText(piece, PIECE_SEED) % PIECE_COUNT));
 }
 
-/** The chat template: each message between its role and an end mark, then the assistant's turn. */
+/**
+ * The chat template: each message is enclosed by its role and an end token; the assistant's role
+ * follows.
+ */
 export function encodeMessages(messages: readonly TemplateMessage[]): number[] {
   const ids: number[] = [BEGIN_OF_SEQUENCE];
   for (const message of messages) {
--- a/packages/sequoiarill-standins/src/engine/vocabulary.ts
+++ b/packages/sequoiarill-standins/src/engine/vocabulary.ts
@@ -1,8 +1,9 @@
 /**
- * The stand-in model: which token follows, and which text a token adds.
+ * The stand-in model: computes the next token and decodes tokens to text.
  *
  * The next token is a pure function of the model's name, the fleet's seed and all token ids so far,
- * so an engine that is given prompt and output of another goes on with the very same tokens.
+ * so an engine that receives the prompt and output of another engine continues with the same
+ * tokens.
  */
 import * as Hashes from './hashes';
 
@@ -22,7 +23,9 @@
   'contract report history customer technician garment customer fabric stretch cotton wool leather'
 ).split(' ');
 
-/** Each takes more than one byte in UTF-8, so a real tokeniser may split it over two tokens. */
+/**
+ * Each takes more than one byte in UTF-8, so that a real tokeniser may split it into two tokens.
+ */
 const CHARACTERS = ['ð', 'þ', 'ö', 'æ', 'é', 'ß', '✓', '€', '🚪', '👟', '😀', '❄'];
 
 const END_SALT = 0x51;
@@ -31,22 +34,22 @@
 
 export interface ModelOptions {
   readonly model: string;
-  /** Of the fleet: engines with one seed and one model name generate the same tokens. */
+  /** Shared by the fleet: engines with the same seed and model name generate the same tokens. */
   readonly seed: number;
-  /** Chance that the sequence ends at a token; 0 for never. */
+  /** Probability that the sequence ends at any given token; 0 disables it. */
   readonly endProbability: number;
 }
 
-/** The rolling hash over the given ids, from which `computeNextToken` works. */
+/** Computes the rolling hash over the given ids, the input of `computeNextToken`. */
 export function hashSequence(options: ModelOptions, ids: readonly number[]): number {
   let hash = Hashes.hashText(options.model, options.seed);
   for (const id of ids) hash = Hashes.hashNumber(hash, id);
   return hash;
 }
 
-/** The token after a sequence with this rolling hash that ends with `lastId`. */
+/** Computes the token after a sequence that has this rolling hash and ends with `lastId`. */
 export function computeNextToken(hash: number, lastId: number, endProbability: number): number {
-  if (isLead(lastId)) return lastId - LEAD_BASE + TRAIL_BASE;
+  if (isLeadToken(lastId)) return lastId - LEAD_BASE + TRAIL_BASE;
   if (Hashes.computeFraction(Hashes.hashNumber(hash, END_SALT)) < endProbability) {
     return END_OF_SEQUENCE;
   }
@@ -56,24 +59,24 @@
   return WORD_BASE + (choice % WORDS.length);
 }
 
-/** Whether the token is the first part of a character that the next token completes. */
-export function isLead(id: number): boolean {
+/** Whether the token is the first half of a character that the next token completes. */
+export function isLeadToken(id: number): boolean {
   return id >= LEAD_BASE && id < LEAD_BASE + CHARACTERS.length;
 }
 
-function isTrail(id: number): boolean {
+function isTrailToken(id: number): boolean {
   return id >= TRAIL_BASE && id < TRAIL_BASE + CHARACTERS.length;
 }
 
 /**
- * Text that a token adds, given the output token before it in the same call.
+ * Returns the text that a token adds after the previous output token of the same request.
  *
- * The second half of a character whose first half was in the prompt comes out as U+FFFD: real
- * engines decode only their own output, so a continuation must not be cut there.
+ * The second half of a character whose first half is in the prompt decodes to U+FFFD: real engines
+ * decode only their own output, so a continuation must not start within a character.
  */
 export function decodeToken(id: number, previousId: number | undefined): string {
-  if (isLead(id)) return '';
-  if (isTrail(id)) {
+  if (isLeadToken(id)) return '';
+  if (isTrailToken(id)) {
     const completes = previousId !== undefined && previousId - LEAD_BASE === id - TRAIL_BASE;
     return completes ? (CHARACTERS[id - TRAIL_BASE] ?? '') : REPLACEMENT_CHARACTER;
   }
@@ -86,7 +89,7 @@
   readonly finishReason: 'stop' | 'length';
 }
 
-/** What an engine must answer to a prompt, for tests to compare with. */
+/** Computes the output that an engine must produce for a prompt, as the reference for tests. */
 export function computeOutput(
   options: ModelOptions,
   promptIds: readonly number[],
--- a/packages/sequoiarill-standins/src/main.ts
+++ b/packages/sequoiarill-standins/src/main.ts
@@ -1,4 +1,4 @@
-/** Command line of the stand-ins: runs one of them as a process of its own. */
+/** Command line of the stand-ins: runs one stand-in in its own process. */
 import * as Commander from 'commander';
 import type { ZodType } from 'zod';
 
@@ -13,7 +13,7 @@
 }
 
 interface StandinKind {
-  /** Also the section of its settings. */
+  /** Name of the subcommand and of the section in the settings file. */
   readonly name: string;
   readonly description: string;
   readonly schema: ZodType;
@@ -53,9 +53,10 @@
   const standin = kind.create(result.settings);
   const { address } = await standin.start();
   process.stdout.write(`${JSON.stringify({ standin: kind.name, address })}\n`);
-  // A stand-in that plays dead has no listener; without this timer its process would end.
+  // A stand-in that simulates a crash closes its listener; without this timer the process would
+  // exit.
   const keepAlive = setInterval(() => undefined, KEEP_ALIVE_MS);
-  // Nothing is left to run after the stop, so that the process ends by itself.
+  // After the stop nothing keeps the event loop alive, so the process exits by itself.
   const handleSignal = (): void => {
     clearInterval(keepAlive);
     standin.stop().catch((error: unknown) => failProcess(error));
--- a/packages/sequoiarill-standins/src/platform/__tests__/platform.test.ts
+++ b/packages/sequoiarill-standins/src/platform/__tests__/platform.test.ts
@@ -5,7 +5,7 @@
 import * as Calls from '../../shared/__tests__/calls';
 import * as Platform from '..';
 
-interface KeyAnswer {
+interface KeyResponse {
   readonly kvs?: readonly { readonly value: string; readonly mod_revision: string }[];
   readonly header: { readonly revision: string };
   readonly succeeded?: boolean;
@@ -48,11 +48,11 @@
     return nowMs;
   }
 
-  async function callPath(path: string, body: unknown): Promise<KeyAnswer> {
-    return Calls.readJson<KeyAnswer>(await Calls.sendJson(`${url}${path}`, body));
+  async function callPath(path: string, body: unknown): Promise<KeyResponse> {
+    return Calls.readJson<KeyResponse>(await Calls.sendJson(`${url}${path}`, body));
   }
 
-  function writeKey(key: string, value: string, lease?: string): Promise<KeyAnswer> {
+  function writeKey(key: string, value: string, lease?: string): Promise<KeyResponse> {
     return callPath('/v3/kv/put', { key: encodeText(key), value: encodeText(value), lease });
   }
 
@@ -61,7 +61,7 @@
     return kvs?.[0] && Buffer.from(kvs[0].value, 'base64').toString();
   }
 
-  function writeCompared(key: string, revision: number, value: string): Promise<KeyAnswer> {
+  function writeIfUnchanged(key: string, revision: number, value: string): Promise<KeyResponse> {
     const range = { request_range: { key: encodeText(key) } };
     const put = { request_put: { key: encodeText(key), value: encodeText(value) } };
     const compare = { key: encodeText(key), target: 'MOD', result: 'EQUAL' };
@@ -96,19 +96,19 @@
     }
   }
 
-  it('lets one of two racing writers through a compare-and-swap', async () => {
+  it('accepts only one of two concurrent compare-and-swap writes', async () => {
     const { header } = await writeKey('a/1', 'old');
     const revision = Number(header.revision);
     const answers = await Promise.all([
-      writeCompared('a/1', revision, 'left'),
-      writeCompared('a/1', revision, 'right'),
+      writeIfUnchanged('a/1', revision, 'left'),
+      writeIfUnchanged('a/1', revision, 'right'),
     ]);
     expect(answers.filter((answer) => answer.succeeded === true).length).toEqual(1);
-    const created = await writeCompared('a/2', 0, 'new');
+    const created = await writeIfUnchanged('a/2', 0, 'new');
     expect([created.succeeded, await readValue('a/2')]).toEqual([true, 'new']);
   });
 
-  it('lets a lease lapse by the clock and removes its keys', async () => {
+  it('expires a lease by the clock and removes its keys', async () => {
     const { ID: lease = '' } = await callPath('/v3/lease/grant', { TTL: '5' });
     await writeKey('a/held', 'x', lease);
     nowMs += 4_000;
@@ -122,7 +122,7 @@
     await refused.body.dump();
   });
 
-  it('tells watchers each change once and in order, past ones first', async () => {
+  it('sends watchers each change once and in order, starting with past ones', async () => {
     const { header } = await writeKey('a/1', 'one');
     await writeKey('b/1', 'elsewhere');
     const lines = await openWatch(Number(header.revision));
@@ -139,7 +139,7 @@
     await Calls.waitUntil(() => platform.getCounters().watchesOpen === 0);
   });
 
-  it('tells a quiet watcher how far it is, where it asked for that', async () => {
+  it('sends progress notifications to an idle watcher that requested them', async () => {
     const lines = await openWatch(1, true);
     await lines.next();
     await writeKey('b/1', 'elsewhere');
@@ -150,10 +150,10 @@
     await lines.return();
   });
 
-  // A router would serve an old configuration for ever.
-  // Its watch broke, changes were made and compacted, and it went on from where it was.
-  // Cause: the changes between are gone, which only the compacted answer tells.
-  it('tells a watcher that comes back too late that its revision is compacted', async () => {
+  // Guards against a router that serves an old configuration forever: its watch breaks, changes are
+  // made and compacted, and it resumes from its last revision. The changes in between are lost, and
+  // only the compaction response shows that.
+  it('reports to a watcher that resumes too late that its revision is compacted', async () => {
     const { header } = await writeKey('a/1', 'one');
     const lines = await openWatch(Number(header.revision));
     await lines.next();
@@ -167,15 +167,16 @@
     expect(value?.result.compact_revision).toEqual(String(platform.getRevision()));
   });
 
-  // An editor would be told that an accepted change had failed, and make it twice.
-  // The write takes effect, then the connection breaks before the answer.
-  it('loses answers of writes that took effect', async () => {
+  // Clients must handle a write whose outcome is unknown: the write takes effect, then the
+  // connection breaks before the response. An editor that took this for a failure would make the
+  // change twice.
+  it('drops responses to writes that took effect', async () => {
     await platform.setFault({ kind: 'loseAnswers', count: 1 });
     await expect(writeKey('a/1', 'kept')).toBeRejected();
     expect(await readValue('a/1')).toEqual('kept');
   });
 
-  it('goes down and comes back with what it held', async () => {
+  it('retains its data over an outage', async () => {
     await writeKey('a/1', 'one');
     await platform.setFault({ kind: 'down' });
     await expect(writeKey('a/1', 'two')).toBeRejected();
@@ -204,16 +205,16 @@
     await many.body.dump();
   });
 
-  it('refuses fields that it does not know', async () => {
+  it('refuses unknown fields', async () => {
     const nested = await Calls.sendJson(`${url}/v3/kv/txn`, { success: [{ request_txn: {} }] });
     const { message } = await Calls.readJson<{ message: string }>(nested);
     expect([nested.statusCode, message.includes('request_txn')]).toEqual([400, true]);
   });
 
-  it('counts calls for the budget', async () => {
+  it('counts calls by kind', async () => {
     await writeKey('a/1', 'one');
     await readValue('a/1');
-    await writeCompared('a/1', 0, 'two');
+    await writeIfUnchanged('a/1', 0, 'two');
     await callPath('/v3/lease/grant', { TTL: 5 });
     const { reads, writes, leaseCalls } = platform.getCounters();
     expect([reads, writes, leaseCalls]).toEqual([1, 2, 1]);
--- a/packages/sequoiarill-standins/src/platform/counters.ts
+++ b/packages/sequoiarill-standins/src/platform/counters.ts
@@ -1,4 +1,4 @@
-/** What the platform was asked for, to set against its budget. */
+/** Counts the calls that the platform received, for comparison with its call budget. */
 import type { PlatformPath } from './requests';
 
 export interface PlatformCounters {
@@ -8,7 +8,7 @@
   readonly writes: number;
   readonly leaseCalls: number;
   readonly watchesOpen: number;
-  /** Watches opened since the start. */
+  /** Calls to open a watch since the start. */
   readonly watchesOpened: number;
 }
 
@@ -20,7 +20,10 @@
   return path.startsWith('/v3/lease/') ? 'leaseCalls' : 'writes';
 }
 
-/** Whether a call changes the store, so that losing its answer leaves its caller in doubt. */
+/**
+ * Whether a call changes the store, so that a lost response leaves its client unsure whether it
+ * took effect.
+ */
 export function isWritingCall(path: PlatformPath): boolean {
   return path !== '/v3/kv/range' && path !== '/v3/watch' && path !== '/v3/lease/timetolive';
 }
--- a/packages/sequoiarill-standins/src/platform/errors.ts
+++ b/packages/sequoiarill-standins/src/platform/errors.ts
@@ -1,6 +1,6 @@
-/** Errors in the form of the published gateway. */
+/** Errors in the format of the published gateway. */
 
-/** Codes of gRPC that the gateway passes on. */
+/** gRPC status codes that the gateway passes on. */
 const INVALID_ARGUMENT = 3;
 const NOT_FOUND = 5;
 const OUT_OF_RANGE = 11;
--- a/packages/sequoiarill-standins/src/platform/faults.ts
+++ b/packages/sequoiarill-standins/src/platform/faults.ts
@@ -1,30 +1,30 @@
-/** Faults that the platform stand-in can be told to show. */
+/** Faults that can be injected into the platform stand-in. */
 import * as Zod from 'zod';
 
 export const platformFaultSchema = Zod.discriminatedUnion('kind', [
-  /** Connections are taken and cut before anything is done. */
+  /** Accepts connections and closes them without handling any call. */
   Zod.strictObject({ kind: Zod.literal('down') }),
-  /** Connections are cut and refused, until `up` or for so many milliseconds. */
+  /** Closes connections and refuses new ones, until `up` or for `forMs` milliseconds. */
   Zod.strictObject({
     kind: Zod.literal('refuse'),
     forMs: Zod.number().int().min(0).optional(),
   }),
-  /** Calls hang, and are done when the fault ends. */
+  /** Calls hang and are run when the fault is cleared. */
   Zod.strictObject({ kind: Zod.literal('hang') }),
-  /** Each call waits so long before it is done, in milliseconds; 0 ends it. */
+  /** Delays each call by `ms` milliseconds before it is run; 0 clears the fault. */
   Zod.strictObject({ kind: Zod.literal('slow'), ms: Zod.number().int().min(0) }),
   /**
-   * The next so many calls are done, and their connections cut in place of the answer: those on
-   * `path`, or all that change something.
+   * Runs the next `count` calls, but closes their connections instead of responding. Applies to
+   * calls on `path`, or without it to all calls that change the store.
    */
   Zod.strictObject({
     kind: Zod.literal('loseAnswers'),
     count: Zod.number().int().min(0),
     path: Zod.string().optional(),
   }),
-  /** Watches are cut, and the revisions they would go on from are compacted. */
+  /** Closes all watches and compacts the revisions from which they would resume. */
   Zod.strictObject({ kind: Zod.literal('watchGap') }),
-  /** Ends every fault. */
+  /** Clears every fault. */
   Zod.strictObject({ kind: Zod.literal('up') }),
 ]);
 
--- a/packages/sequoiarill-standins/src/platform/index.ts
+++ b/packages/sequoiarill-standins/src/platform/index.ts
@@ -1,4 +1,4 @@
-/** Platform stand-in. */
+/** Stand-in for the platform's key-value service. */
 export * from './platform';
 export type { PlatformCounters } from './counters';
 export type { PlatformFault } from './faults';
--- a/packages/sequoiarill-standins/src/platform/calls.ts
+++ b/packages/sequoiarill-standins/src/platform/keyCalls.ts
@@ -1,6 +1,6 @@
-/** The calls on keys: range, put, delete and transaction. */
-import * as Answers from './answers';
-import type { Answer } from './answers';
+/** Calls on keys: range, put, delete, transaction and compaction. */
+import * as Responses from './responses';
+import type { GatewayResponse } from './responses';
 import * as Errors from './errors';
 import type { PlatformError } from './errors';
 import type { Leases } from './leases';
@@ -15,7 +15,7 @@
 import type { PlatformSettings } from './settings';
 import type { Store, StoredKey, StoreWriter } from './store';
 
-export type CallResult = Answer | PlatformError;
+export type CallResult = GatewayResponse | PlatformError;
 
 export interface KeyCalls {
   readonly readRange: (request: RangeRequest) => CallResult;
@@ -32,14 +32,14 @@
 const NO_LEASE = '0';
 
 export function createKeyCalls(store: Store, leases: Leases, settings: PlatformSettings): KeyCalls {
-  function findRangeFault(request: RangeRequest): PlatformError | undefined {
+  function findRangeError(request: RangeRequest): PlatformError | undefined {
     if (request.revision === 0 || request.revision === store.getRevision()) return undefined;
     if (request.revision > store.getRevision()) return Errors.FUTURE_REVISION;
     if (request.revision < store.getCompactRevision()) return Errors.COMPACTED;
     return Errors.OLD_REVISION;
   }
 
-  function findPutFault(request: PutRequest): PlatformError | undefined {
+  function findPutError(request: PutRequest): PlatformError | undefined {
     if (request.key === '') return Errors.KEY_MISSING;
     if (request.value.length > settings.maxValueBytes) return Errors.REQUEST_TOO_LARGE;
     const isLeaseMissing =
@@ -47,7 +47,7 @@
     return isLeaseMissing ? Errors.LEASE_NOT_FOUND : undefined;
   }
 
-  function buildRange(request: RangeRequest, revision: number): Answer {
+  function buildRange(request: RangeRequest, revision: number): GatewayResponse {
     const found = sortKeys(request, store.listRange(getRange(request))).filter(
       (stored) =>
         stored.modRevision >= request.min_mod_revision &&
@@ -56,34 +56,36 @@
     const limited = request.limit > 0 ? found.slice(0, request.limit) : found;
     const shown = request.count_only ? [] : limited;
     const kvs = shown.map((stored) =>
-      Answers.buildKey(request.keys_only ? { ...stored, value: Buffer.alloc(0) } : stored),
+      Responses.buildKey(request.keys_only ? { ...stored, value: Buffer.alloc(0) } : stored),
     );
-    return Answers.buildAnswer({
-      header: Answers.buildHeader(revision),
+    return Responses.buildResponse({
+      header: Responses.buildHeader(revision),
       kvs,
       more: !request.count_only && shown.length < found.length,
       count: String(found.length),
     });
   }
 
-  function applyPut(writer: StoreWriter, request: PutRequest): Answer {
+  function applyPut(writer: StoreWriter, request: PutRequest): GatewayResponse {
     const previous = writer.writeKey(request.key, request.value, request.lease);
     return {
-      header: Answers.buildHeader(writer.getRevision()),
-      ...(request.prev_kv && previous !== undefined ? { prev_kv: Answers.buildKey(previous) } : {}),
+      header: Responses.buildHeader(writer.getRevision()),
+      ...(request.prev_kv && previous !== undefined
+        ? { prev_kv: Responses.buildKey(previous) }
+        : {}),
     };
   }
 
-  function applyDelete(writer: StoreWriter, request: DeleteRequest): Answer {
+  function applyDelete(writer: StoreWriter, request: DeleteRequest): GatewayResponse {
     const removed = writer.removeRange(getRange(request));
-    return Answers.buildAnswer({
-      header: Answers.buildHeader(writer.getRevision()),
+    return Responses.buildResponse({
+      header: Responses.buildHeader(writer.getRevision()),
       deleted: String(removed.length),
-      prev_kvs: request.prev_kv ? removed.map(Answers.buildKey) : [],
+      prev_kvs: request.prev_kv ? removed.map(Responses.buildKey) : [],
     });
   }
 
-  function applyOperation(writer: StoreWriter, operation: OperationRequest): Answer {
+  function applyOperation(writer: StoreWriter, operation: OperationRequest): GatewayResponse {
     if (operation.request_put !== undefined) {
       return { response_put: applyPut(writer, operation.request_put) };
     }
@@ -94,48 +96,48 @@
     return { response_range: buildRange(operation.request_range, writer.getRevision()) };
   }
 
-  function findTransactionFault(request: TransactionRequest): PlatformError | undefined {
+  function findTransactionError(request: TransactionRequest): PlatformError | undefined {
     const branches = [request.success, request.failure];
     const sizes = [request.compare, ...branches].map((list) => list.length);
     if (Math.max(...sizes) > settings.maxTransactionOperations) return Errors.TOO_MANY_OPERATIONS;
-    return branches.map(findBranchFault).find((fault) => fault !== undefined);
+    return branches.map(findBranchError).find((error) => error !== undefined);
   }
 
-  function findBranchFault(operations: readonly OperationRequest[]): PlatformError | undefined {
+  function findBranchError(operations: readonly OperationRequest[]): PlatformError | undefined {
     const puts = operations.flatMap(({ request_put: put }) => (put === undefined ? [] : [put]));
     if (new Set(puts.map((put) => put.key)).size < puts.length) return Errors.DUPLICATE_KEY;
     const ranges = operations.flatMap(({ request_range: range }) =>
       range === undefined ? [] : [range],
     );
-    return [...puts.map(findPutFault), ...ranges.map(findRangeFault)].find(
-      (fault) => fault !== undefined,
+    return [...puts.map(findPutError), ...ranges.map(findRangeError)].find(
+      (error) => error !== undefined,
     );
   }
 
   return {
-    readRange: (request) => findRangeFault(request) ?? buildRange(request, store.getRevision()),
+    readRange: (request) => findRangeError(request) ?? buildRange(request, store.getRevision()),
     writeKey: (request) =>
-      findPutFault(request) ?? store.writeRevision((writer) => applyPut(writer, request)),
+      findPutError(request) ?? store.writeRevision((writer) => applyPut(writer, request)),
     removeRange: (request) =>
       request.key === ''
         ? Errors.KEY_MISSING
         : store.writeRevision((writer) => applyDelete(writer, request)),
     runTransaction(request) {
-      const fault = findTransactionFault(request);
-      if (fault !== undefined) return fault;
-      const succeeded = request.compare.every((comparison) => isTrue(store, comparison));
+      const error = findTransactionError(request);
+      if (error !== undefined) return error;
+      const succeeded = request.compare.every((comparison) => isComparisonMet(store, comparison));
       return store.writeRevision((writer) => {
         const operations = succeeded ? request.success : request.failure;
         const responses = operations.map((operation) => applyOperation(writer, operation));
-        const header = Answers.buildHeader(writer.getRevision());
-        return Answers.buildAnswer({ header, succeeded, responses });
+        const header = Responses.buildHeader(writer.getRevision());
+        return Responses.buildResponse({ header, succeeded, responses });
       });
     },
     compact(revision) {
       if (revision > store.getRevision()) return Errors.FUTURE_REVISION;
       if (revision <= store.getCompactRevision()) return Errors.COMPACTED;
       store.compact(revision);
-      return { header: Answers.buildHeader(store.getRevision()) };
+      return { header: Responses.buildHeader(store.getRevision()) };
     },
   };
 }
@@ -153,22 +155,24 @@
   return request.sort_order === 'DESCEND' ? sorted.reverse() : sorted;
 }
 
-/** A comparison of a range holds when it holds for each key in it; a missing key has zeros. */
-function isTrue(store: Store, comparison: CompareRequest): boolean {
+/**
+ * A comparison of a range holds if it holds for each key in it; a missing key is compared as zeros.
+ */
+function isComparisonMet(store: Store, comparison: CompareRequest): boolean {
   const found = store.listRange(getRange(comparison));
-  if (found.length > 0) return found.every((stored) => isTrueFor(stored, comparison));
+  if (found.length > 0) return found.every((stored) => isComparisonMetBy(stored, comparison));
   if (comparison.range_end !== undefined) return true;
-  return comparison.target !== 'VALUE' && isTrueFor(MISSING_KEY, comparison);
+  return comparison.target !== 'VALUE' && isComparisonMetBy(MISSING_KEY, comparison);
 }
 
-function isTrueFor(stored: StoredKey, comparison: CompareRequest): boolean {
-  const order = compareTarget(stored, comparison);
-  if (comparison.result === 'GREATER') return order > 0;
-  if (comparison.result === 'LESS') return order < 0;
-  return comparison.result === 'EQUAL' ? order === 0 : order !== 0;
+function isComparisonMetBy(stored: StoredKey, comparison: CompareRequest): boolean {
+  const difference = compareTarget(stored, comparison);
+  if (comparison.result === 'GREATER') return difference > 0;
+  if (comparison.result === 'LESS') return difference < 0;
+  return comparison.result === 'EQUAL' ? difference === 0 : difference !== 0;
 }
 
-/** What a key that does not exist is compared as. */
+/** Stands for a key that does not exist in comparisons. */
 const MISSING_KEY: StoredKey = {
   key: '',
   value: Buffer.alloc(0),
@@ -178,7 +182,7 @@
   leaseId: NO_LEASE,
 };
 
-/** Below zero when the stored one is less than the one asked for. */
+/** Returns a negative number if the stored value is less than the value in the comparison. */
 function compareTarget(stored: StoredKey, comparison: CompareRequest): number {
   const { target } = comparison;
   if (target === 'VALUE') return stored.value.compare(comparison.value);
--- a/packages/sequoiarill-standins/src/platform/leaseCalls.ts
+++ b/packages/sequoiarill-standins/src/platform/leaseCalls.ts
@@ -1,14 +1,14 @@
-/** The calls on leases. */
-import * as Answers from './answers';
-import type { CallResult } from './calls';
+/** Calls on leases: grant, keep-alive, revoke and time-to-live. */
+import * as Responses from './responses';
+import type { CallResult } from './keyCalls';
 import * as Errors from './errors';
 import type { Leases } from './leases';
 import type { PlatformClock } from './settings';
 import type { Store } from './store';
 
 const MS_PER_SECOND = 1_000;
-/** The time to live that is told of a lease that does not exist. */
-const GONE_TTL = '-1';
+/** The time to live that is returned for a lease that does not exist. */
+const MISSING_LEASE_TTL = '-1';
 
 export interface LeaseCalls {
   readonly grantLease: (id: string, ttlSeconds: number) => CallResult;
@@ -18,8 +18,8 @@
 }
 
 export function createLeaseCalls(store: Store, leases: Leases, clock: PlatformClock): LeaseCalls {
-  function buildHeader(): Answers.Answer {
-    return Answers.buildHeader(store.getRevision());
+  function buildHeader(): Responses.GatewayResponse {
+    return Responses.buildHeader(store.getRevision());
   }
 
   return {
@@ -28,20 +28,23 @@
       if (lease === undefined) return Errors.LEASE_EXISTS;
       return { header: buildHeader(), ID: lease.id, TTL: String(lease.grantedSeconds) };
     },
-    /** A streamed call in the published interface, so its answer is wrapped as one result. */
+    /**
+     * Keep-alive is a streaming call in the published interface, so the response is wrapped in
+     * `result`.
+     */
     updateLease(id) {
       const ttl = leases.updateLease(id)?.grantedSeconds ?? 0;
-      const result = Answers.buildAnswer({ header: buildHeader(), ID: id, TTL: String(ttl) });
+      const result = Responses.buildResponse({ header: buildHeader(), ID: id, TTL: String(ttl) });
       return { result };
     },
     revokeLease: (id) =>
       leases.removeLease(id) ? { header: buildHeader() } : Errors.LEASE_NOT_FOUND,
     readLease(id, includesKeys) {
       const lease = leases.findLease(id);
-      if (lease === undefined) return { header: buildHeader(), ID: id, TTL: GONE_TTL };
+      if (lease === undefined) return { header: buildHeader(), ID: id, TTL: MISSING_LEASE_TTL };
       const leftMs = lease.expiresAtMs - clock.getNowMs();
       const keys = includesKeys ? leases.listKeys(id) : [];
-      return Answers.buildAnswer({
+      return Responses.buildResponse({
         header: buildHeader(),
         ID: id,
         TTL: String(Math.ceil(leftMs / MS_PER_SECOND)),
--- a/packages/sequoiarill-standins/src/platform/leases.ts
+++ b/packages/sequoiarill-standins/src/platform/leases.ts
@@ -1,4 +1,4 @@
-/** Leases: they expire by the clock, and the keys under them go with them. */
+/** Leases: they expire by the clock, and their attached keys are deleted with them. */
 import type { PlatformClock } from './settings';
 import type { Store } from './store';
 
@@ -9,12 +9,14 @@
 }
 
 export interface Leases {
-  /** `undefined` when the id asked for is taken. */
+  /** Returns `undefined` if the requested id is already in use. */
   readonly addLease: (id: string, ttlSeconds: number) => Lease | undefined;
   readonly findLease: (id: string) => Lease | undefined;
-  /** Starts its time anew; `undefined` when it has expired. */
+  /**
+   * Renews the lease for its granted time; returns `undefined` if it does not exist or has expired.
+   */
   readonly updateLease: (id: string) => Lease | undefined;
-  /** False when it does not exist. */
+  /** Returns false if the lease does not exist. */
   readonly removeLease: (id: string) => boolean;
   readonly listLeases: () => readonly Lease[];
   readonly listKeys: (id: string) => readonly string[];
@@ -22,13 +24,16 @@
 }
 
 const MS_PER_SECOND = 1_000;
-/** Large, as the ids of the real service are, so that a client that parses them as numbers fails. */
-const FIRST_ID = 7_587_870_000_000_000_001n;
+/**
+ * Above 2^53, as the ids of the real service are, so that a client that parses ids as numbers
+ * fails.
+ */
+const FIRST_LEASE_ID = 7_587_870_000_000_000_001n;
 const ALL_KEYS = { key: '', rangeEnd: '\0' };
 
 export function createLeases(store: Store, clock: PlatformClock): Leases {
   const leases = new Map<string, Lease>();
-  let nextId = FIRST_ID;
+  let nextId = FIRST_LEASE_ID;
 
   function takeId(): string {
     const id = String(nextId);
@@ -44,15 +49,15 @@
   }
 
   function listKeys(id: string): readonly string[] {
-    const held = store.listRange(ALL_KEYS).filter((stored) => stored.leaseId === id);
-    return held.map((stored) => stored.key);
+    const attached = store.listRange(ALL_KEYS).filter((stored) => stored.leaseId === id);
+    return attached.map((stored) => stored.key);
   }
 
   function removeLease(id: string): boolean {
     if (!leases.delete(id)) return false;
-    const held = listKeys(id);
+    const attachedKeys = listKeys(id);
     store.writeRevision((writer) => {
-      for (const key of held) writer.removeRange({ key, rangeEnd: undefined });
+      for (const key of attachedKeys) writer.removeRange({ key, rangeEnd: undefined });
     });
     return true;
   }
--- a/packages/sequoiarill-standins/src/platform/platform.ts
+++ b/packages/sequoiarill-standins/src/platform/platform.ts
@@ -1,11 +1,11 @@
-/** The platform's key-value service for tests: the JSON gateway of etcd v3 as published. */
+/** Stand-in for the platform's key-value service: the published JSON gateway of etcd v3. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import * as Control from '../shared/control';
 import * as Waiting from '../shared/waiting';
 import * as Http from '../shared/http';
 import * as Servers from '../shared/server';
-import * as Calls from './calls';
+import * as KeyCalls from './keyCalls';
 import * as Counters from './counters';
 import * as Errors from './errors';
 import type { PlatformError } from './errors';
@@ -27,19 +27,19 @@
   readonly getRevision: () => number;
 }
 
-/** Answers that are still to be lost. */
-interface AnswerLoss {
+/** Responses that remain to be dropped. */
+interface ResponseLoss {
   readonly count: number;
   readonly path?: string | undefined;
 }
 
 export interface PlatformOptions {
-  /** The real monotonic clock unless a test gives its own. */
+  /** Defaults to the monotonic system clock; tests pass their own. */
   readonly clock?: Settings.PlatformClock;
 }
 
-/** Bytes travel as base64 in the gateway's JSON, which takes a third more. */
-const BASE64_GROWTH = 4 / 3;
+/** The gateway's JSON carries bytes as base64, which is a third larger. */
+const BASE64_SIZE_RATIO = 4 / 3;
 
 const SYSTEM_CLOCK: Settings.PlatformClock = { getNowMs: () => performance.now() };
 
@@ -51,7 +51,7 @@
   const clock = options.clock ?? SYSTEM_CLOCK;
   const store = Stores.createStore(settings.historyRevisions);
   const leases = Leases.createLeases(store, clock);
-  const keyCalls = Calls.createKeyCalls(store, leases, settings);
+  const keyCalls = KeyCalls.createKeyCalls(store, leases, settings);
   const leaseCalls = LeaseCalls.createLeaseCalls(store, leases, clock);
   const watches = Watches.createWatches(store, settings.progressMs);
   const server = Servers.createStandinServer(settings.listen, handleRequest);
@@ -61,15 +61,15 @@
     getCounters,
   };
   const gate = Waiting.createGate();
-  const revival = Waiting.createLaterTask();
+  const reviveTask = Waiting.createDeferredTask();
   const counts = { reads: 0, writes: 0, leaseCalls: 0, watchesOpened: 0 };
   let leaseTimer: NodeJS.Timeout | undefined;
   let isDown = false;
   let slowMs = 0;
-  let loss: AnswerLoss = { count: 0 };
+  let responseLoss: ResponseLoss = { count: 0 };
 
-  function runCall(path: Exclude<PlatformPath, '/v3/watch'>, raw: unknown): Calls.CallResult {
-    const handlers: Readonly<Record<typeof path, () => Calls.CallResult>> = {
+  function runCall(path: Exclude<PlatformPath, '/v3/watch'>, raw: unknown): KeyCalls.CallResult {
+    const handlers: Readonly<Record<typeof path, () => KeyCalls.CallResult>> = {
       '/v3/kv/range': () => runParsed('/v3/kv/range', raw, keyCalls.readRange),
       '/v3/kv/put': () => runParsed('/v3/kv/put', raw, keyCalls.writeKey),
       '/v3/kv/deleterange': () => runParsed('/v3/kv/deleterange', raw, keyCalls.removeRange),
@@ -103,18 +103,20 @@
       openWatch(raw, response);
       return;
     }
-    const isTooLarge = exchange.body.length > settings.maxRequestBytes * BASE64_GROWTH;
+    const isTooLarge = exchange.body.length > settings.maxRequestBytes * BASE64_SIZE_RATIO;
     const result = isTooLarge ? Errors.REQUEST_TOO_LARGE : runCall(path, raw);
-    if (isLost(path)) {
-      loss = { ...loss, count: loss.count - 1 };
+    if (isResponseLost(path)) {
+      responseLoss = { ...responseLoss, count: responseLoss.count - 1 };
       response.destroy();
-    } else if (Calls.isError(result)) sendError(response, result);
+    } else if (KeyCalls.isError(result)) sendError(response, result);
     else Http.sendJson(response, 200, result);
   }
 
-  function isLost(path: PlatformPath): boolean {
-    if (loss.count === 0) return false;
-    return loss.path === undefined ? Counters.isWritingCall(path) : loss.path === path;
+  function isResponseLost(path: PlatformPath): boolean {
+    if (responseLoss.count === 0) return false;
+    return responseLoss.path === undefined
+      ? Counters.isWritingCall(path)
+      : responseLoss.path === path;
   }
 
   function openWatch(raw: unknown, response: ServerResponse): void {
@@ -126,7 +128,7 @@
   async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const exchange = await Http.readExchange(request, response);
     const path = exchange.url.pathname;
-    if (Control.isControl(exchange)) await Control.handleControl(control, exchange);
+    if (Control.isControlRequest(exchange)) await Control.handleControl(control, exchange);
     else if (isDown) response.destroy();
     else if (Requests.isPlatformPath(path)) await handleCall(path, exchange);
     else sendError(response, Errors.PATH_UNKNOWN);
@@ -134,34 +136,37 @@
 
   async function setFault(fault: PlatformFault): Promise<void> {
     if (fault.kind === 'up') await removeFaults();
-    else if (fault.kind === 'down') failConnections();
+    else if (fault.kind === 'down') simulateOutage();
     else if (fault.kind === 'refuse') refuseConnections(fault.forMs);
     else if (fault.kind === 'hang') gate.close();
     else if (fault.kind === 'slow') slowMs = fault.ms;
-    else if (fault.kind === 'loseAnswers') loss = fault;
-    else failWatches();
+    else if (fault.kind === 'loseAnswers') responseLoss = fault;
+    else simulateWatchGap();
   }
 
-  function failConnections(): void {
+  function simulateOutage(): void {
     isDown = true;
     server.closeConnections();
   }
 
   function refuseConnections(forMs: number | undefined): void {
     server.refuseConnections();
-    if (forMs !== undefined) revival.delay(forMs, removeFaults);
+    if (forMs !== undefined) reviveTask.delay(forMs, removeFaults);
   }
 
   async function removeFaults(): Promise<void> {
     isDown = false;
     slowMs = 0;
-    loss = { count: 0 };
+    responseLoss = { count: 0 };
     gate.open();
     await server.start();
   }
 
-  /** Two revisions ahead, so that the one after the last that any watcher saw is compacted. */
-  function failWatches(): void {
+  /**
+   * Advances by two revisions, so that the one after the last that any watcher received is
+   * compacted.
+   */
+  function simulateWatchGap(): void {
     store.addEmptyRevisions(2);
     store.compact(store.getRevision());
     watches.closeAll();
@@ -177,7 +182,7 @@
   }
 
   async function stop(): Promise<void> {
-    revival.cancel();
+    reviveTask.cancel();
     clearInterval(leaseTimer);
     leaseTimer = undefined;
     gate.open();
@@ -190,8 +195,8 @@
 function runParsed<Path extends PlatformPath>(
   path: Path,
   raw: unknown,
-  run: (body: Extract<Requests.ParsedBody<Path>, { kind: 'body' }>['body']) => Calls.CallResult,
-): Calls.CallResult {
+  run: (body: Extract<Requests.ParsedBody<Path>, { kind: 'body' }>['body']) => KeyCalls.CallResult,
+): KeyCalls.CallResult {
   const parsed = Requests.parseBody(path, raw);
   return parsed.kind === 'invalid' ? Errors.buildInvalid(parsed.message) : run(parsed.body);
 }
--- a/packages/sequoiarill-standins/src/platform/requests.ts
+++ b/packages/sequoiarill-standins/src/platform/requests.ts
@@ -1,23 +1,23 @@
 /**
- * Checked bodies of the gateway's calls.
+ * Schemas of the request bodies of the gateway's calls.
  *
- * The gateway takes field names in snake case and in camel case, 64-bit numbers as text or as
- * numbers, and enumerations by name or by number. A field that the stand-in does not know is refused,
- * so that no test passes because an option was silently ignored.
+ * The gateway accepts field names in snake case and in camel case, 64-bit numbers as text or as
+ * numbers, and enumerations by name or by number. An unknown field is refused, so that no test
+ * passes because an option was silently ignored.
  */
 import * as Zod from 'zod';
 
-function parseSnakeName(name: string): string {
+function formatSnakeCase(name: string): string {
   return name.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
 
-/** Field names in snake case; `ID` and `TTL` stay as they are published. */
-function parseNames(value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(parseNames);
+/** Converts field names to snake case; `ID` and `TTL` keep their published form. */
+function decodeFieldNames(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(decodeFieldNames);
   if (value === null || typeof value !== 'object') return value;
   const entries = Object.entries(value).map(([name, inner]): [string, unknown] => [
-    /^[A-Z]+$/.test(name) ? name : parseSnakeName(name),
-    parseNames(inner),
+    /^[A-Z]+$/.test(name) ? name : formatSnakeCase(name),
+    decodeFieldNames(inner),
   ]);
   return Object.fromEntries(entries);
 }
@@ -29,17 +29,17 @@
 const bytesSchema = Zod.string().transform(parseBytes);
 const keySchema = Zod.string().transform((text) => parseBytes(text).toString('latin1'));
 const rangeEndSchema = keySchema.transform((key) => (key === '' ? undefined : key)).optional();
-/** 64-bit numbers that are compared or counted; they stay far below 2^53 here. */
+/** 64-bit numbers that are compared or counted; in the stand-in they stay far below 2^53. */
 const numberSchema = Zod.union([Zod.string().regex(/^-?\d+$/), Zod.number().int()])
   .transform(Number)
   .default(0);
-/** 64-bit ids, which do not fit a number. */
+/** 64-bit ids, which exceed the safe integers of a number. */
 const idSchema = Zod.union([Zod.string().regex(/^-?\d+$/), Zod.number().int()])
   .transform(String)
   .default('0');
 const flagSchema = Zod.boolean().default(false);
 
-/** An enumeration by name or by number. */
+/** Accepts an enumeration value by name or by number; the first name is the default. */
 function createEnumSchema<const Names extends readonly [string, ...string[]]>(names: Names) {
   return Zod.union([
     Zod.enum(names),
@@ -56,7 +56,7 @@
   range_end: rangeEndSchema,
   limit: numberSchema,
   revision: numberSchema,
-  /** Taken and of no effect, since there is one replica. */
+  /** Accepted without effect, since the stand-in has one replica. */
   serializable: flagSchema,
   keys_only: flagSchema,
   count_only: flagSchema,
@@ -114,7 +114,7 @@
   }),
 });
 
-/** Schemas by path. */
+/** Request schemas by path. */
 export const SCHEMAS = {
   '/v3/kv/range': rangeSchema,
   '/v3/kv/put': putSchema,
@@ -146,7 +146,7 @@
   | { readonly kind: 'invalid'; readonly message: string };
 
 export function parseBody<Path extends PlatformPath>(path: Path, raw: unknown): ParsedBody<Path> {
-  const result = SCHEMAS[path].safeParse(parseNames(raw));
+  const result = SCHEMAS[path].safeParse(decodeFieldNames(raw));
   if (result.success) {
     return { kind: 'body', body: result.data as Zod.infer<(typeof SCHEMAS)[Path]> };
   }
--- a/packages/sequoiarill-standins/src/platform/answers.ts
+++ b/packages/sequoiarill-standins/src/platform/responses.ts
@@ -1,12 +1,15 @@
-/** Answers of the gateway: 64-bit numbers as text, bytes as base64, zero values left out. */
+/**
+ * Builds responses in the JSON encoding of the gateway: 64-bit numbers as text, bytes as base64,
+ * zero values omitted.
+ */
 import type { StoredKey, StoreEvent } from './store';
 
 const CLUSTER_ID = '14841639068965178418';
 const MEMBER_ID = '10276657743932975437';
 
-export type Answer = Readonly<Record<string, unknown>>;
+export type GatewayResponse = Readonly<Record<string, unknown>>;
 
-export function buildHeader(revision: number): Answer {
+export function buildHeader(revision: number): GatewayResponse {
   return {
     cluster_id: CLUSTER_ID,
     member_id: MEMBER_ID,
@@ -15,10 +18,10 @@
   };
 }
 
-/** Leaves out what the published encoding leaves out: zero, false, empty text and empty lists. */
-export function buildAnswer(fields: Answer): Answer {
-  const kept = Object.entries(fields).filter(([, value]) => !isZeroValue(value));
-  return Object.fromEntries(kept);
+/** Omits what the published encoding omits: zero, false, empty text and empty lists. */
+export function buildResponse(fields: GatewayResponse): GatewayResponse {
+  const nonZero = Object.entries(fields).filter(([, value]) => !isZeroValue(value));
+  return Object.fromEntries(nonZero);
 }
 
 function isZeroValue(value: unknown): boolean {
@@ -26,8 +29,8 @@
   return value === undefined || value === false || value === '' || value === '0';
 }
 
-export function buildKey(stored: StoredKey): Answer {
-  return buildAnswer({
+export function buildKey(stored: StoredKey): GatewayResponse {
+  return buildResponse({
     key: Buffer.from(stored.key, 'latin1').toString('base64'),
     create_revision: String(stored.createRevision),
     mod_revision: String(stored.modRevision),
@@ -37,7 +40,7 @@
   });
 }
 
-export function buildEvent(event: StoreEvent, includesPrevious: boolean): Answer {
+export function buildEvent(event: StoreEvent, includesPrevious: boolean): GatewayResponse {
   const { stored, previous } = event;
   const previousKey =
     includesPrevious && previous !== undefined ? { prev_kv: buildKey(previous) } : {};
--- a/packages/sequoiarill-standins/src/platform/settings.ts
+++ b/packages/sequoiarill-standins/src/platform/settings.ts
@@ -1,28 +1,28 @@
-/** Settings of the platform stand-in; every one has a default. */
+/** Settings of the platform stand-in; each has a default. */
 import * as Zod from 'zod';
 
 import * as SharedSettings from '../shared/settings';
 
 export const platformSettingsSchema = Zod.strictObject({
   listen: SharedSettings.listenSchema,
-  /** Size of one value, in bytes. */
+  /** Largest value, in bytes. */
   maxValueBytes: SharedSettings.createCountSchema(1, 1_048_576),
-  /** Size of one request, in bytes. */
+  /** Largest request, in bytes. */
   maxRequestBytes: SharedSettings.createCountSchema(1, 1_572_864),
-  /** Operations in one transaction. */
+  /** Most operations in one branch of a transaction, and most comparisons. */
   maxTransactionOperations: SharedSettings.createCountSchema(1, 128),
-  /** Revisions that a watch can go back; older ones are compacted. */
+  /** Revisions from which a watch can still start; older ones are compacted. */
   historyRevisions: SharedSettings.createCountSchema(1, 10_000),
-  /** Time between the progress lines of a watch that asked for them, in milliseconds. */
+  /** Interval of the progress notifications of a watch that requested them, in milliseconds. */
   progressMs: SharedSettings.createCountSchema(1, 600_000),
-  /** How often leases are looked through for expired ones, in milliseconds. */
+  /** Interval at which expired leases are removed, in milliseconds. */
   leaseCheckMs: SharedSettings.createCountSchema(1, 50),
 });
 
 export type PlatformSettings = Readonly<Zod.infer<typeof platformSettingsSchema>>;
 export type PlatformSettingsInput = Readonly<Zod.input<typeof platformSettingsSchema>>;
 
-/** Time as an argument: leases expire by it. */
+/** The clock by which leases expire; passed in so that tests can control it. */
 export interface PlatformClock {
   /** Monotonic, milliseconds. */
   readonly getNowMs: () => number;
--- a/packages/sequoiarill-standins/src/platform/store.ts
+++ b/packages/sequoiarill-standins/src/platform/store.ts
@@ -1,7 +1,9 @@
-/** Keys, revisions and history, without any network. */
+/**
+ * In-memory store of keys with revisions and their history, independent of the network interface.
+ */
 
 export interface StoredKey {
-  /** Bytes as Latin-1 text, so that text order is byte order. */
+  /** Bytes as Latin-1 text, so that comparing texts compares bytes. */
   readonly key: string;
   readonly value: Buffer;
   readonly createRevision: number;
@@ -16,7 +18,7 @@
   readonly previous: StoredKey | undefined;
 }
 
-/** All changes of one revision, which belong together. */
+/** All changes that were committed together as one revision. */
 export interface StoreRevision {
   readonly revision: number;
   readonly events: readonly StoreEvent[];
@@ -24,15 +26,15 @@
 
 export interface KeyRange {
   readonly key: string;
-  /** Absent: only the key itself. */
+  /** If absent, the range is only the key itself. */
   readonly rangeEnd: string | undefined;
 }
 
-/** Changes that become one revision when they are committed. */
+/** Collects changes that are committed as one revision. */
 export interface StoreWriter {
   readonly writeKey: (key: string, value: Buffer, leaseId: string) => StoredKey | undefined;
   readonly removeRange: (range: KeyRange) => readonly StoredKey[];
-  /** The revision that this commit has or will have. */
+  /** The revision of this commit, or the current revision if it has no changes so far. */
   readonly getRevision: () => number;
 }
 
@@ -41,17 +43,17 @@
   readonly getCompactRevision: () => number;
   readonly findKey: (key: string) => StoredKey | undefined;
   readonly listRange: (range: KeyRange) => readonly StoredKey[];
-  /** Runs all changes as one revision; none is made when nothing changed. */
+  /** Commits all changes as one revision; without changes, no revision is created. */
   readonly writeRevision: <Result>(write: (writer: StoreWriter) => Result) => Result;
-  /** Forgets the history before this revision. */
+  /** Discards the history before this revision. */
   readonly compact: (revision: number) => void;
-  /** As if so many revisions had been made with keys that nobody watches. */
+  /** Advances the revision as if keys that nobody watches had been written. */
   readonly addEmptyRevisions: (count: number) => void;
   readonly listRevisionsFrom: (revision: number) => readonly StoreRevision[];
   readonly subscribeRevisions: (listener: (revision: StoreRevision) => void) => () => void;
 }
 
-/** A range end of one zero byte means: every key from the first on. */
+/** A range end of one zero byte selects every key from the start of the range. */
 const OPEN_END = '\0';
 
 export function isInRange(range: KeyRange, key: string): boolean {
@@ -71,8 +73,8 @@
   let compactRevision = 0;
 
   function listRange(range: KeyRange): readonly StoredKey[] {
-    const only = keys.get(range.key);
-    if (range.rangeEnd === undefined) return only === undefined ? [] : [only];
+    const exact = keys.get(range.key);
+    if (range.rangeEnd === undefined) return exact === undefined ? [] : [exact];
     const found = [...keys.values()].filter((stored) => isInRange(range, stored.key));
     return found.sort(compareKeys);
   }
--- a/packages/sequoiarill-standins/src/platform/watches.ts
+++ b/packages/sequoiarill-standins/src/platform/watches.ts
@@ -1,7 +1,10 @@
-/** Watches: each is one response that stays open and gets a line for each revision. */
+/**
+ * Watches: each is a response that stays open and receives one line for each revision with matching
+ * changes.
+ */
 import type { ServerResponse } from 'node:http';
 
-import * as Answers from './answers';
+import * as Responses from './responses';
 import type { WatchRequest } from './requests';
 import type { Store, StoreRevision } from './store';
 import * as Stores from './store';
@@ -9,12 +12,12 @@
 export interface Watches {
   readonly openWatch: (request: WatchRequest, response: ServerResponse) => void;
   readonly getOpenCount: () => number;
-  /** Cuts the connection of every watch. */
+  /** Closes the connection of every watch. */
   readonly closeAll: () => void;
 }
 
 export function createWatches(store: Store, progressMs: number): Watches {
-  const open = new Set<ServerResponse>();
+  const openResponses = new Set<ServerResponse>();
 
   function openWatch(request: WatchRequest, response: ServerResponse): void {
     response.writeHead(200, { 'content-type': 'application/json' });
@@ -25,11 +28,11 @@
       response.end();
       return;
     }
-    if (request.start_revision > 0) sendPast(request, response);
+    if (request.start_revision > 0) sendHistory(request, response);
     watchStore(request, response);
   }
 
-  function sendPast(request: WatchRequest, response: ServerResponse): void {
+  function sendHistory(request: WatchRequest, response: ServerResponse): void {
     for (const past of store.listRevisionsFrom(request.start_revision)) {
       sendRevision(request, response, past);
     }
@@ -40,15 +43,15 @@
       if (revision.revision >= request.start_revision) sendRevision(request, response, revision);
     });
     const timer = request.progress_notify ? startProgress(response) : undefined;
-    open.add(response);
+    openResponses.add(response);
     response.on('close', () => {
       clearInterval(timer);
-      open.delete(response);
+      openResponses.delete(response);
       unsubscribe();
     });
   }
 
-  /** A line without events tells the revision up to which there were none. */
+  /** A line without events reports the revision up to which nothing changed. */
   function startProgress(response: ServerResponse): NodeJS.Timeout {
     return setInterval(() => sendResult(response, {}), progressMs).unref();
   }
@@ -59,21 +62,21 @@
     revision: StoreRevision,
   ): void {
     const range = { key: request.key, rangeEnd: request.range_end };
-    const seen = revision.events.filter(({ stored }) => Stores.isInRange(range, stored.key));
-    const events = seen.map((event) => Answers.buildEvent(event, request.prev_kv));
+    const matching = revision.events.filter(({ stored }) => Stores.isInRange(range, stored.key));
+    const events = matching.map((event) => Responses.buildEvent(event, request.prev_kv));
     if (events.length > 0) sendResult(response, { events });
   }
 
-  function sendResult(response: ServerResponse, fields: Answers.Answer): void {
-    const header = Answers.buildHeader(store.getRevision());
+  function sendResult(response: ServerResponse, fields: Responses.GatewayResponse): void {
+    const header = Responses.buildHeader(store.getRevision());
     response.write(`${JSON.stringify({ result: { header, ...fields } })}\n`);
   }
 
   return {
     openWatch,
-    getOpenCount: () => open.size,
+    getOpenCount: () => openResponses.size,
     closeAll() {
-      for (const response of open) response.destroy();
+      for (const response of openResponses) response.destroy();
     },
   };
 }
--- a/packages/sequoiarill-standins/src/service/__tests__/service.test.ts
+++ b/packages/sequoiarill-standins/src/service/__tests__/service.test.ts
@@ -44,16 +44,16 @@
     });
   });
 
-  // A second crew would be sent into the snow.
-  // The booking ran, its answer was lost, and somebody repeats it.
-  it('runs a call whose answer it loses', async () => {
+  // Tests of "at most once" need a call that ran although its caller saw an error, because a retry
+  // of such a call would run it twice.
+  it('runs a call even if its answer is lost', async () => {
     await startService();
     await service.setFault({ kind: 'loseAnswers', count: 1 });
     await expect(sendOrder('k1')).toBeRejected();
     expect(service.getCounters().runsByKey.k1).toEqual(1);
   });
 
-  it('runs what it had received when it wakes, also without its caller', async () => {
+  it('runs calls received during a pause after it ends, even if the caller has disconnected', async () => {
     await startService();
     await service.setFault({ kind: 'pause' });
     const controller = new AbortController();
@@ -66,7 +66,7 @@
     await Calls.waitUntil(() => service.getCounters().total === 1);
   });
 
-  it('refuses connections while it is dead and fails fast without running', async () => {
+  it('refuses connections after a crash, and fails fast without running calls', async () => {
     await startService();
     await service.setFault({ kind: 'die' });
     await expect(sendOrder('k1')).toBeRejected();
--- a/packages/sequoiarill-standins/src/service/faults.ts
+++ b/packages/sequoiarill-standins/src/service/faults.ts
@@ -1,25 +1,28 @@
-/** Faults that the plain service stand-in can be told to show. */
+/** Faults that can be injected into the plain service stand-in. */
 import * as Zod from 'zod';
 
 export const serviceFaultSchema = Zod.discriminatedUnion('kind', [
-  /** Every connection is cut and new ones are refused. What was run stays counted. */
+  /**
+   * Simulates a crash: closes every connection and refuses new ones. The counters of runs are
+   * retained.
+   */
   Zod.strictObject({
     kind: Zod.literal('die'),
-    /** Milliseconds after which it comes back by itself; without it, `revive` does. */
+    /** Milliseconds after which the stand-in restarts; without it, only `revive` restarts it. */
     reviveAfterMs: Zod.number().int().min(0).optional(),
   }),
-  /** Back on the same port; ends every other fault too. */
+  /** Restarts on the same port and clears every other fault. */
   Zod.strictObject({ kind: Zod.literal('revive') }),
-  /** Calls hang, and are run when the fault ends, also when their caller has left. */
+  /** Calls hang and are run when the fault is cleared, even if their caller has disconnected. */
   Zod.strictObject({ kind: Zod.literal('pause') }),
   Zod.strictObject({ kind: Zod.literal('unpause') }),
-  /** Each answer takes so much longer, in milliseconds; 0 ends it. */
+  /** Delays each answer by `ms` milliseconds; 0 clears the fault. */
   Zod.strictObject({ kind: Zod.literal('slow'), ms: Zod.number().int().min(0) }),
-  /** The next so many calls are run, and their connections cut in place of the answer. */
+  /** Runs the next `count` calls, but closes their connections instead of answering. */
   Zod.strictObject({ kind: Zod.literal('loseAnswers'), count: Zod.number().int().min(0) }),
-  /** Everything is answered 503 at once and not run. */
+  /** Answers every call with 503 at once, without running it. */
   Zod.strictObject({ kind: Zod.literal('failFast') }),
-  /** Ends every fault but `die`. */
+  /** Clears every fault except `die`. */
   Zod.strictObject({ kind: Zod.literal('heal') }),
 ]);
 
--- a/packages/sequoiarill-standins/src/service/runs.ts
+++ b/packages/sequoiarill-standins/src/service/runs.ts
@@ -1,4 +1,6 @@
-/** Counts what a plain service ran: the truth that tests compare claims of "at most once" with. */
+/**
+ * Counts the calls that a plain service ran; tests check the "at most once" guarantee against it.
+ */
 
 export interface ServiceCall {
   readonly method: string;
@@ -11,7 +13,7 @@
 export interface ServiceAnswer {
   readonly method: string;
   readonly path: string;
-  /** Runs with this key, or in all where the call has no key; this one included. */
+  /** Runs with this idempotency key, or all runs if the call has no key; includes this one. */
   readonly count: number;
   readonly idempotencyKey: string | null;
   readonly body: string;
@@ -19,7 +21,7 @@
 
 export interface ServiceCounters {
   readonly total: number;
-  /** Calls answered with the answer of an earlier run. */
+  /** Calls that got the stored answer of an earlier run. */
   readonly replayed: number;
   readonly runsByKey: Readonly<Record<string, number>>;
 }
--- a/packages/sequoiarill-standins/src/service/service.ts
+++ b/packages/sequoiarill-standins/src/service/service.ts
@@ -1,4 +1,4 @@
-/** A plain service for tests: runs any call, counts it and echoes it. */
+/** Stand-in for a plain service: runs any call, counts it and echoes it. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import * as Control from '../shared/control';
@@ -15,7 +15,7 @@
   readonly stop: () => Promise<void>;
   readonly setFault: (fault: ServiceFault) => Promise<void>;
   readonly getCounters: () => Runs.ServiceCounters;
-  /** Calls received and not yet run, since the service is paused. */
+  /** Counts the calls that were received while the service is paused and have not run yet. */
   readonly countWaiting: () => number;
 }
 
@@ -23,7 +23,7 @@
   const settings = Settings.serviceSettingsSchema.parse(input);
   const runs = Runs.createServiceRuns(settings.checksIdempotencyKey);
   const gate = Waiting.createGate();
-  const revival = Waiting.createLaterTask();
+  const reviveTask = Waiting.createDeferredTask();
   const control: Control.ControlOptions<ServiceFault> = {
     schema: Faults.serviceFaultSchema,
     setFault,
@@ -34,15 +34,15 @@
   let answersToLose = 0;
   let failsFast = false;
   let incarnation = 1;
-  let waiting = 0;
+  let waitingCount = 0;
 
   async function handleCall(exchange: Http.Exchange): Promise<void> {
     const { response } = exchange;
-    const started = incarnation;
-    waiting += 1;
+    const startIncarnation = incarnation;
+    waitingCount += 1;
     await gate.waitOpen();
-    waiting -= 1;
-    if (started !== incarnation) return;
+    waitingCount -= 1;
+    if (startIncarnation !== incarnation) return;
     if (failsFast) {
       sendError(response, 503, 'the service fails everything');
       return;
@@ -58,7 +58,7 @@
 
   async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const exchange = await Http.readExchange(request, response);
-    if (Control.isControl(exchange)) await Control.handleControl(control, exchange);
+    if (Control.isControlRequest(exchange)) await Control.handleControl(control, exchange);
     else await handleCall(exchange);
   }
 
@@ -69,21 +69,21 @@
     gate.open();
   }
 
-  function failService(reviveAfterMs?: number): void {
+  function simulateCrash(reviveAfterMs?: number): void {
     incarnation += 1;
     server.refuseConnections();
-    if (reviveAfterMs !== undefined) revival.delay(reviveAfterMs, resumeService);
+    if (reviveAfterMs !== undefined) reviveTask.delay(reviveAfterMs, simulateRestart);
   }
 
-  async function resumeService(): Promise<void> {
-    failService();
+  async function simulateRestart(): Promise<void> {
+    simulateCrash();
     removeFaults();
     await server.start();
   }
 
   async function setFault(fault: ServiceFault): Promise<void> {
-    if (fault.kind === 'die') failService(fault.reviveAfterMs);
-    else if (fault.kind === 'revive') await resumeService();
+    if (fault.kind === 'die') simulateCrash(fault.reviveAfterMs);
+    else if (fault.kind === 'revive') await simulateRestart();
     else if (fault.kind === 'pause') gate.close();
     else if (fault.kind === 'unpause') gate.open();
     else if (fault.kind === 'slow') slowMs = fault.ms;
@@ -93,7 +93,7 @@
   }
 
   async function stop(): Promise<void> {
-    revival.cancel();
+    reviveTask.cancel();
     incarnation += 1;
     gate.open();
     await server.stop();
@@ -104,7 +104,7 @@
     stop,
     setFault,
     getCounters: runs.getCounters,
-    countWaiting: () => waiting,
+    countWaiting: () => waitingCount,
   };
 }
 
--- a/packages/sequoiarill-standins/src/service/settings.ts
+++ b/packages/sequoiarill-standins/src/service/settings.ts
@@ -1,13 +1,13 @@
-/** Settings of the plain service stand-in; every one has a default. */
+/** Settings of the plain service stand-in; each has a default. */
 import * as Zod from 'zod';
 
 import * as SharedSettings from '../shared/settings';
 
 export const serviceSettingsSchema = Zod.strictObject({
   listen: SharedSettings.listenSchema,
-  /** Whether a repeated `Idempotency-Key` gets the first answer again in place of a second run. */
+  /** Whether a repeated `Idempotency-Key` gets the first answer again instead of a second run. */
   checksIdempotencyKey: SharedSettings.flagSchema,
-  /** Time for one answer, in milliseconds. */
+  /** Time that each answer takes, in milliseconds. */
   answerMs: SharedSettings.createCountSchema(0, 0),
 });
 
--- a/packages/sequoiarill-standins/src/shared/__tests__/calls.ts
+++ b/packages/sequoiarill-standins/src/shared/__tests__/calls.ts
@@ -1,4 +1,4 @@
-/** Calls that the tests of the stand-ins make. */
+/** HTTP client helpers for the tests of the stand-ins. */
 import * as Undici from 'undici';
 
 export interface ChunkChoice {
@@ -17,8 +17,8 @@
   };
 }
 
-/** What came of a stream, until its end or its break. */
-export interface StreamEnd {
+/** What was received of a stream until it ended or its connection broke. */
+export interface StreamResult {
   readonly ids: readonly number[];
   readonly text: string;
   readonly promptIds: readonly number[];
@@ -55,22 +55,22 @@
   return (await response.body.json()) as Value;
 }
 
-/** The `data` of each event; throws when the connection breaks. */
+/** Yields the `data` of each event; throws if the connection breaks. */
 export async function* readEvents(response: StreamResponse): AsyncGenerator<string, void, void> {
   const decoder = new TextDecoder();
   let rest = '';
-  for await (const part of response.body) {
-    const events = (rest + decoder.decode(part as Buffer, { stream: true })).split('\n\n');
+  for await (const chunk of response.body) {
+    const events = (rest + decoder.decode(chunk as Buffer, { stream: true })).split('\n\n');
     rest = events.pop() ?? '';
     for (const event of events) yield event.replace(/^data: /, '');
   }
 }
 
-/** Reads until the end, the break, or until so many tokens came. */
+/** Reads until the stream ends, its connection breaks or `maxTokens` tokens have arrived. */
 export async function readStream(
   response: StreamResponse,
   maxTokens = Infinity,
-): Promise<StreamEnd> {
+): Promise<StreamResult> {
   const chunks: Chunk[] = [];
   let isDone = false;
   let isBroken = false;
@@ -83,14 +83,14 @@
   } catch {
     isBroken = true;
   }
-  return { ...buildStreamEnd(chunks), isDone, isBroken };
+  return { ...buildStreamResult(chunks), isDone, isBroken };
 }
 
 function listTokenIds(chunks: readonly Chunk[]): readonly number[] {
   return chunks.flatMap((chunk) => chunk.choices[0]?.token_ids ?? []);
 }
 
-function buildStreamEnd(chunks: readonly Chunk[]): Omit<StreamEnd, 'isDone' | 'isBroken'> {
+function buildStreamResult(chunks: readonly Chunk[]): Omit<StreamResult, 'isDone' | 'isBroken'> {
   const choices = chunks.flatMap((chunk) => chunk.choices);
   const texts = choices.map((choice) => choice.text ?? choice.delta?.content ?? '');
   const finished = choices.find((choice) => choice.finish_reason !== null);
@@ -103,9 +103,9 @@
   };
 }
 
-/** Ends when the condition holds; the runner's time limit is its bound. */
-export async function waitUntil(isTrue: () => boolean | Promise<boolean>): Promise<void> {
-  while (!(await isTrue())) {
+/** Polls until the condition holds; only the time limit of the test runner bounds it. */
+export async function waitUntil(isMet: () => boolean | Promise<boolean>): Promise<void> {
+  while (!(await isMet())) {
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_MS);
     });
--- a/packages/sequoiarill-standins/src/shared/control.ts
+++ b/packages/sequoiarill-standins/src/shared/control.ts
@@ -1,4 +1,4 @@
-/** `POST /standin/fault` and `GET /standin/counters`: how a stand-in in a process is steered. */
+/** Control interface of a stand-in process: `POST /standin/fault` and `GET /standin/counters`. */
 import type { ServerResponse } from 'node:http';
 
 import * as Zod from 'zod';
@@ -13,11 +13,14 @@
 
 const CONTROL_PREFIX = '/standin/';
 
-export function isControl(exchange: Http.Exchange): boolean {
+export function isControlRequest(exchange: Http.Exchange): boolean {
   return exchange.url.pathname.startsWith(CONTROL_PREFIX);
 }
 
-/** The answer goes out before the fault, since some faults cut the connection that asked for them. */
+/**
+ * Sends the response before injecting the fault, since some faults cut the connection of the
+ * request.
+ */
 export async function handleControl<Fault>(
   options: ControlOptions<Fault>,
   exchange: Http.Exchange,
@@ -33,13 +36,13 @@
     Http.sendJson(response, 400, { error: { message } });
     return;
   }
-  const sent = waitSent(response);
+  const sent = waitUntilSent(response);
   Http.sendJson(response, 200, {});
   await sent;
   await options.setFault(parsed.data);
 }
 
-function waitSent(response: ServerResponse): Promise<void> {
+function waitUntilSent(response: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
     response.once('finish', resolve);
     response.once('close', resolve);
--- a/packages/sequoiarill-standins/src/shared/http.ts
+++ b/packages/sequoiarill-standins/src/shared/http.ts
@@ -1,9 +1,9 @@
-/** Reading and writing of JSON over HTTP. */
+/** Reads and writes JSON over HTTP. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 export type Headers = Readonly<Record<string, string>>;
 
-/** One request with its whole body, and the response to it. */
+/** One request with its complete body, and the response to it. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -13,20 +13,23 @@
 }
 
 /**
- * Reads the whole body first: what a process has in its buffers when it is paused it still runs when
- * it wakes, also when the other side has gone by then.
+ * Reads the complete body first, as a real process does: requests that were buffered when it was
+ * paused are run after it resumes, even if their client has disconnected by then.
  */
 export async function readExchange(
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<Exchange> {
-  const parts: Buffer[] = [];
-  for await (const part of request) parts.push(part as Buffer);
+  const chunks: Buffer[] = [];
+  for await (const chunk of request) chunks.push(chunk as Buffer);
   const url = new URL(request.url ?? '/', 'http://standin');
-  return { request, response, method: request.method ?? 'GET', url, body: Buffer.concat(parts) };
+  return { request, response, method: request.method ?? 'GET', url, body: Buffer.concat(chunks) };
 }
 
-/** The parsed body; `undefined` when it is no JSON. An empty body is an empty object. */
+/**
+ * Returns the parsed body, or `undefined` if it is not JSON. An empty body counts as an empty
+ * object.
+ */
 export function parseJson(body: Buffer): unknown {
   const text = body.toString('utf8');
   if (text.trim() === '') return {};
--- a/packages/sequoiarill-standins/src/shared/server.ts
+++ b/packages/sequoiarill-standins/src/shared/server.ts
@@ -1,4 +1,7 @@
-/** An HTTP server that can vanish and come back on the same port, as a process that dies does. */
+/**
+ * An HTTP server that can stop listening and later reopen the same port, as a crashed and restarted
+ * process does.
+ */
 import * as Http from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 
@@ -10,13 +13,13 @@
 export interface StandinServer {
   readonly start: () => Promise<{ readonly address: string }>;
   readonly stop: () => Promise<void>;
-  /** Cuts every connection; new ones are still taken. */
+  /** Closes every connection; new ones are still accepted. */
   readonly closeConnections: () => void;
-  /** Cuts every connection and refuses new ones until `start`. */
+  /** Closes every connection and refuses new ones until `start`. */
   readonly refuseConnections: () => void;
 }
 
-/** Another process may hold the port for a moment when a stand-in comes back to it. */
+/** Another process may occupy the port for a moment when a stand-in reopens it. */
 const LISTEN_ATTEMPTS = 40;
 const LISTEN_RETRY_MS = 50;
 const INTERNAL_ERROR = 500;
@@ -46,7 +49,7 @@
   async function openListener(): Promise<Http.Server> {
     for (let attempt = 1; ; attempt += 1) {
       const candidate = createServer();
-      const error = await openPort(candidate, port, host);
+      const error = await startListening(candidate, port, host);
       if (error === undefined) return candidate;
       if (attempt === LISTEN_ATTEMPTS || error.code !== 'EADDRINUSE') throw error;
       await new Promise((resolve) => {
@@ -85,7 +88,7 @@
   return { start, stop, closeConnections, refuseConnections };
 }
 
-function openPort(
+function startListening(
   server: Http.Server,
   port: number,
   host: string,
--- a/packages/sequoiarill-standins/src/shared/settings.ts
+++ b/packages/sequoiarill-standins/src/shared/settings.ts
@@ -1,4 +1,4 @@
-/** Building blocks of the stand-ins' settings, which come from INI files or from tests. */
+/** Schemas shared by the settings of all stand-ins, which come from INI files or from tests. */
 import { isIP } from 'node:net';
 
 import * as Zod from 'zod';
@@ -16,12 +16,12 @@
   .refine(isListenAddress, 'use IP:port, such as 127.0.0.1:0')
   .default('127.0.0.1:0');
 
-/** A whole number of at least `least`, also as INI text. */
-export function createCountSchema(least: number, fallback: number) {
-  return Zod.coerce.number<number>().int().min(least).default(fallback);
+/** An integer of at least `minimum`, as a number or as INI text. */
+export function createCountSchema(minimum: number, defaultValue: number) {
+  return Zod.coerce.number<number>().int().min(minimum).default(defaultValue);
 }
 
-/** `true` or `false`, also as INI text. */
+/** A boolean, or its INI text `true` or `false`. */
 export const flagSchema = Zod.union([
   Zod.boolean(),
   Zod.enum(['true', 'false']).transform((text) => text === 'true'),
--- a/packages/sequoiarill-standins/src/shared/settingsFile.ts
+++ b/packages/sequoiarill-standins/src/shared/settingsFile.ts
@@ -1,4 +1,4 @@
-/** Reads the INI file of one stand-in and lists every fault in it at once. */
+/** Reads the INI file of one stand-in and reports all of its errors together. */
 import { readFileSync } from 'node:fs';
 
 import * as Ini from 'ini';
@@ -33,7 +33,7 @@
   return [`${file}: [${section}] ${issue.path.join('.')}: ${issue.message}`];
 }
 
-/** Without a file every setting has its default. */
+/** Without a file, every setting has its default. */
 export function loadSettingsFile(
   file: string | undefined,
   section: string,
--- a/packages/sequoiarill-standins/src/shared/waiting.ts
+++ b/packages/sequoiarill-standins/src/shared/waiting.ts
@@ -1,8 +1,8 @@
-/** Waiting: for a paused stand-in to go on, and for time to pass. */
+/** Helpers that wait until a paused stand-in resumes or until a time has passed. */
 export interface Gate {
   readonly close: () => void;
   readonly open: () => void;
-  /** Ends at once while the gate is open. */
+  /** Resolves at once while the gate is open, otherwise when it opens. */
   readonly waitOpen: () => Promise<void>;
 }
 
@@ -26,21 +26,21 @@
   };
 }
 
-/** A pause of so many milliseconds that does not keep the process alive. */
+/** Waits for the given milliseconds without keeping the process alive. */
 export function waitMs(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms).unref();
   });
 }
 
-/** A task that may be put off; a later one replaces it. */
-export interface LaterTask {
-  /** Runs the task after so many milliseconds, unless the process has ended by then. */
+/** A timer for one delayed task; scheduling another task replaces the pending one. */
+export interface DeferredTask {
+  /** Runs the task after the given milliseconds; does not keep the process alive. */
   readonly delay: (ms: number, task: () => Promise<void>) => void;
   readonly cancel: () => void;
 }
 
-export function createLaterTask(): LaterTask {
+export function createDeferredTask(): DeferredTask {
   let timer: NodeJS.Timeout | undefined;
   return {
     delay(ms, task) {
