--- a/packages/sequoiarill-plugin-orders/src/events.ts
+++ b/packages/sequoiarill-plugin-orders/src/events.ts
@@ -1,28 +1,28 @@
-/** Events 1400 to 1499: orders to plain services. */
+/** Log events of orders, with the numbers 1400 to 1499. */
 import * as Kernel from '@sequoiarill/kernel';
 
 export const TARGET_PASSED_OVER = Kernel.defineEvent(
   1400,
   'warn',
   'orders.targetPassedOver',
-  'A service target took no connection and gets no order for a moment; check its process.',
+  'A connection to a service target failed, so the target is skipped for a while; check its process.',
 );
 export const OUTCOME_UNKNOWN = Kernel.defineEvent(
   1401,
   'warn',
   'orders.outcomeUnknown',
-  'An order may have reached its target and no answer came; the caller was told so.',
+  'An order may have reached its target, but no complete answer arrived; the caller received the outcome "unknown".',
 );
 export const CLAIMS_AWAY = Kernel.defineEvent(
   1402,
   'warn',
   'orders.claimsAway',
-  'The key-value service took no claim, so an order was not sent; check the platform.',
+  'A claim could not be written to the key-value service, so the order was not sent; check the platform.',
 );
 export const RESULT_DROPPED = Kernel.defineEvent(
   1403,
   'warn',
   'orders.resultDropped',
-  'The result of a claimed order could not be kept; a repeat of it is answered "unknown".',
+  'The result of a claimed order could not be stored; a repeated order gets the outcome "unknown".',
 );
 export const EVENTS = [TARGET_PASSED_OVER, OUTCOME_UNKNOWN, CLAIMS_AWAY, RESULT_DROPPED] as const;
--- a/packages/sequoiarill-plugin-orders/src/index.ts
+++ b/packages/sequoiarill-plugin-orders/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services, non-idempotent ones at most once. */
+/** Plug-in that calls plain services; a non-idempotent order is run at most once. */
 import * as Kernel from '@sequoiarill/kernel';
 
 import { plugin } from './plugin';
