--- a/packages/sequoiarill-plugin-orders/src/__tests__/claimInterleavings.test.ts
+++ b/packages/sequoiarill-plugin-orders/src/__tests__/claimInterleavings.test.ts
@@ -11,60 +11,63 @@
 
 const SEEDS = [20_261_202, 7, 4_711] as const;
 const RUNS_PER_SEED = 500;
-/** Between the life of an open mark and that of a claim. */
-const AN_HOUR = 3_600;
+/** Longer than the lease of an open marker and shorter than that of a claim. */
+const ONE_HOUR_SECONDS = 3_600;
 
-type TargetFate = 'answers' | 'answerLost' | 'refuses';
+type TargetBehaviour = 'answers' | 'answerLost' | 'refuses';
 
-/** One router's luck. */
-interface Fortune {
+/** The faults of one router, of its target and of its calls to the platform. */
+interface RouterScenario {
   readonly faults: readonly Fault[];
-  readonly targetFates: readonly TargetFate[];
-  /** Waits after which the router is dead; none of its later steps happens. */
-  readonly diesAfter: number;
-  /** How many tries of the same order the caller makes here. */
-  readonly tries: number;
+  readonly targetBehaviours: readonly TargetBehaviour[];
+  /** Number of waits after which the router has crashed and takes no further step. */
+  readonly crashAfterWaits: number;
+  /** How often the caller sends the same order to this router. */
+  readonly submissions: number;
 }
 
-interface Told {
+interface CallerOutcome {
   readonly requestId: string;
   readonly outcome: OrderOutcome;
 }
 
-interface Play {
+interface Simulation {
   readonly store: FakeStore;
-  /** Request ids in the order in which the target ran them. */
-  readonly runs: string[];
-  readonly told: Told[];
+  /** Request ids of the orders that targets ran, in the order of execution. */
+  readonly executedRequestIds: string[];
+  readonly callerOutcomes: CallerOutcome[];
 }
 
-const fortune: FastCheck.Arbitrary<Fortune> = FastCheck.record({
+const routerScenario: FastCheck.Arbitrary<RouterScenario> = FastCheck.record({
   faults: FastCheck.array(
     FastCheck.constantFrom<Fault>('none', 'none', 'none', 'away', 'lostBefore', 'lostAfter'),
     { maxLength: 12 },
   ),
-  targetFates: FastCheck.array(
-    FastCheck.constantFrom<TargetFate>('answers', 'answerLost', 'refuses'),
+  targetBehaviours: FastCheck.array(
+    FastCheck.constantFrom<TargetBehaviour>('answers', 'answerLost', 'refuses'),
     { minLength: 3, maxLength: 3 },
   ),
-  diesAfter: FastCheck.oneof(FastCheck.constant(1_000), FastCheck.integer({ min: 1, max: 30 })),
-  tries: FastCheck.integer({ min: 1, max: 3 }),
+  crashAfterWaits: FastCheck.oneof(
+    FastCheck.constant(1_000),
+    FastCheck.integer({ min: 1, max: 30 }),
+  ),
+  submissions: FastCheck.integer({ min: 1, max: 3 }),
 });
 
-/** Plays one router; every wait is ended in the order that the scheduler draws. */
-async function playRouter(
-  play: Play,
+/** Simulates one router; the scheduler chooses the order in which waits end. */
+async function simulateRouter(
+  simulation: Simulation,
   name: string,
-  luck: Fortune,
+  scenario: RouterScenario,
   scheduler: FastCheck.Scheduler,
 ): Promise<void> {
-  const faults = [...luck.faults];
-  const fates = [...luck.targetFates];
+  const faults = [...scenario.faults];
+  const behaviours = [...scenario.targetBehaviours];
   let waits = 0;
   async function delayStep(): Promise<void> {
     waits += 1;
     await scheduler.schedule(Promise.resolve(), name);
-    if (waits > luck.diesAfter) await FakeStores.waitForever();
+    if (waits > scenario.crashAfterWaits) await FakeStores.waitForever();
   }
   const clock: Clock = {
     getNowMs: () => waits,
@@ -74,32 +77,32 @@
   };
   const runAttempts: RunAttempts = async (order) => {
     await delayStep();
-    const fate = fates.shift() ?? 'answers';
-    if (fate === 'refuses') {
+    const behaviour = behaviours.shift() ?? 'answers';
+    if (behaviour === 'refuses') {
       return { kind: 'notRun', reason: 'noTarget', message: 'refused', retryAfterSeconds: 1 };
     }
-    play.runs.push(order.requestId);
+    simulation.executedRequestIds.push(order.requestId);
     await delayStep();
-    return fate === 'answers'
+    return behaviour === 'answers'
       ? FakeRouters.createDone(order.requestId)
       : { kind: 'unknown', message: 'reset' };
   };
-  const store = play.store.openStore(delayStep, () => faults.shift() ?? 'none');
+  const store = simulation.store.createClient(delayStep, () => faults.shift() ?? 'none');
   const router = FakeRouters.createFakeRouter({ name, store, clock, runAttempts });
-  for (let attempt = 1; attempt <= luck.tries; attempt += 1) {
-    const requestId = `${name}-${attempt}`;
+  for (let submission = 1; submission <= scenario.submissions; submission += 1) {
+    const requestId = `${name}-${submission}`;
     const outcome = await router.runOrder(FakeRouters.createOrder({ requestId }));
-    play.told.push({ requestId, outcome });
+    simulation.callerOutcomes.push({ requestId, outcome });
   }
 }
 
-function checkPlay({ runs, told }: Play): void {
-  expect(runs.length <= 1).toEqual(true);
-  for (const { requestId, outcome } of told) {
-    if (outcome.kind === 'notRun') expect(runs.includes(requestId)).toEqual(false);
-    // Whoever gets an answer gets that of the one run.
+function checkSimulation({ executedRequestIds, callerOutcomes }: Simulation): void {
+  expect(executedRequestIds.length <= 1).toEqual(true);
+  for (const { requestId, outcome } of callerOutcomes) {
+    if (outcome.kind === 'notRun') expect(executedRequestIds.includes(requestId)).toEqual(false);
+    // Every caller that receives an answer receives the answer of the only execution.
     if (outcome.kind === 'done') {
-      expect(Buffer.from(outcome.body).toString()).toEqual(runs[0] ?? '');
+      expect(Buffer.from(outcome.body).toString()).toEqual(executedRequestIds[0] ?? '');
     }
   }
 }
@@ -107,26 +110,31 @@
 describe('claims under every interleaving', () => {
   for (const seed of SEEDS) {
     it(`run an order at most once (seed ${seed})`, async () => {
-      // A caller sends one booking several times to three routers, some of which die; calls of the
-      // platform fail or lose their answers, targets refuse or go silent, and open marks end at any
-      // moment. Two runs would be two crews in the snow; "not run" said of a run one, a third.
+      // A caller sends one order several times to two or three routers. Routers crash, calls to the
+      // platform fail or lose their responses, targets refuse the order or lose the answer, and
+      // open markers expire at any moment. Guards against running the order twice, and against
+      // reporting "not run" for an order that ran, which the caller would then send again.
       const property = FastCheck.asyncProperty(
         FastCheck.scheduler(),
-        FastCheck.array(fortune, { minLength: 2, maxLength: 3 }),
+        FastCheck.array(routerScenario, { minLength: 2, maxLength: 3 }),
         FastCheck.boolean(),
-        async (scheduler, fortunes, expires) => {
-          const play: Play = { store: FakeStores.createFakeStore(), runs: [], told: [] };
-          fortunes.forEach((luck, index) => {
-            playRouter(play, `r${index}`, luck, scheduler).catch(() => undefined);
+        async (scheduler, scenarios, shouldExpireMarkers) => {
+          const simulation: Simulation = {
+            store: FakeStores.createFakeStore(),
+            executedRequestIds: [],
+            callerOutcomes: [],
+          };
+          scenarios.forEach((scenario, index) => {
+            simulateRouter(simulation, `r${index}`, scenario, scheduler).catch(() => undefined);
           });
-          if (expires) {
+          if (shouldExpireMarkers) {
             scheduler
               .schedule(Promise.resolve(), 'open marks end')
-              .then(() => play.store.expireLeases(AN_HOUR))
+              .then(() => simulation.store.expireLeases(ONE_HOUR_SECONDS))
               .catch(() => undefined);
           }
           await scheduler.waitIdle();
-          checkPlay(play);
+          checkSimulation(simulation);
         },
       );
       await FastCheck.assert(property, { seed, numRuns: RUNS_PER_SEED });
--- a/packages/sequoiarill-plugin-orders/src/__tests__/claims.test.ts
+++ b/packages/sequoiarill-plugin-orders/src/__tests__/claims.test.ts
@@ -10,17 +10,20 @@
 import * as FakeStores from './fakeStore';
 import type { Fault, FakeStore } from './fakeStore';
 
-const AN_HOUR = 3_600;
-
-/** Counts runs; answers with the number of the run. */
-function createTarget(): { readonly runAttempts: RunAttempts; readonly getRuns: () => number } {
-  let runs = 0;
+const ONE_HOUR_SECONDS = 3_600;
+
+/** Counts the orders it runs and answers each with its number. */
+function createCountingTarget(): {
+  readonly runAttempts: RunAttempts;
+  readonly getRunCount: () => number;
+} {
+  let runCount = 0;
   return {
     async runAttempts() {
-      runs += 1;
-      return FakeRouters.createDone(`run ${runs}`);
+      runCount += 1;
+      return FakeRouters.createDone(`run ${runCount}`);
     },
-    getRuns: () => runs,
+    getRunCount: () => runCount,
   };
 }
 
@@ -31,7 +34,7 @@
   faults: readonly Fault[] = [],
 ): FakeRouter {
   const queue = [...faults];
-  const store = fakeStore.openStore(
+  const store = fakeStore.createClient(
     async () => undefined,
     () => queue.shift() ?? 'none',
   );
@@ -48,164 +51,165 @@
   return outcome.kind === 'notRun' ? `notRun: ${outcome.reason}` : outcome.kind;
 }
 
-async function playOrder(router: FakeRouter, body = 'one pair'): Promise<string> {
+async function runTestOrder(router: FakeRouter, body = 'one pair'): Promise<string> {
   const order = FakeRouters.createOrder({ body: Buffer.from(body) });
   return formatOutcome(await router.runOrder(order));
 }
 
-/** Leases before the claim itself: the first two calls of a router. */
-const LEASES_FINE: readonly Fault[] = ['none', 'none'];
+/** The first two calls of a router get the leases of the claim and of its open marker. */
+const NO_LEASE_FAULTS: readonly Fault[] = ['none', 'none'];
 
 describe('claims', () => {
-  it('give a repeat the first answer, at the same router and at another', async () => {
+  it('return the first answer to a repeated order, at the same router and at another', async () => {
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
+    const target = createCountingTarget();
     const first = createRouter('a', store, target.runAttempts);
-    expect(await playOrder(first)).toEqual('done: run 1');
-    expect(await playOrder(first)).toEqual('done: run 1');
+    expect(await runTestOrder(first)).toEqual('done: run 1');
+    expect(await runTestOrder(first)).toEqual('done: run 1');
     await first.writer.drain();
-    expect(await playOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
-    expect(target.getRuns()).toEqual(1);
+    expect(await runTestOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
+    expect(target.getRunCount()).toEqual(1);
   });
 
-  it('refuse the same key with another body', async () => {
-    // A caller reuses a key for a second booking and must not get the answer of the first one.
+  it('refuse a key that is reused with another body', async () => {
+    // Guards against answering a second, different order with the answer of the first one.
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
+    const target = createCountingTarget();
     const router = createRouter('a', store, target.runAttempts);
-    await playOrder(router);
-    expect(await playOrder(router, 'two pairs')).toEqual('notRun: keyReused');
+    await runTestOrder(router);
+    expect(await runTestOrder(router, 'two pairs')).toEqual('notRun: keyReused');
     await router.writer.drain();
-    expect(await playOrder(router, 'two pairs')).toEqual('notRun: keyReused');
-    expect(target.getRuns()).toEqual(1);
+    expect(await runTestOrder(router, 'two pairs')).toEqual('notRun: keyReused');
+    expect(target.getRunCount()).toEqual(1);
   });
 
-  it('run one of two that come at once', async () => {
-    // A shopper's double click reaches two routers at the same time, and both look for the claim
-    // before either has written it. Without a compare-and-swap the stock would be reserved twice.
+  it('run one of two simultaneous orders with the same key', async () => {
+    // A double click sends the same order to two routers at the same time. If the routers read the
+    // claim before writing it, instead of using compare-and-swap, both would run the order.
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
+    const target = createCountingTarget();
     const outcomes = await Promise.all([
-      playOrder(createRouter('a', store, target.runAttempts)),
-      playOrder(createRouter('b', store, target.runAttempts)),
+      runTestOrder(createRouter('a', store, target.runAttempts)),
+      runTestOrder(createRouter('b', store, target.runAttempts)),
     ]);
-    expect(target.getRuns()).toEqual(1);
+    expect(target.getRunCount()).toEqual(1);
     expect(outcomes.filter((outcome) => outcome === 'done: run 1').length).toEqual(1);
   });
 
-  it('tell a repeat "in progress", then "unknown", after the router died', async () => {
-    // A router dies after it sent a booking. The technician's van repeats it at another router,
-    // which cannot know whether a crew is booked, and must not book a second one.
+  it('refuse a repeated order with "in progress", then "unknown", after a router crashed', async () => {
+    // A router crashes after it sent an order, and the caller repeats the order at another router.
+    // That router cannot know whether the order has run, and must not run it a second time.
     const store = FakeStores.createFakeStore();
-    let runs = 0;
-    const dying: RunAttempts = async () => {
-      runs += 1;
+    let runCount = 0;
+    const runThenWaitForever: RunAttempts = async () => {
+      runCount += 1;
       return FakeStores.waitForever();
     };
-    playOrder(createRouter('a', store, dying)).catch(() => undefined);
-    while (runs === 0) await setImmediate();
-    const survivor = createRouter('b', store, dying);
-    expect(await playOrder(survivor)).toEqual('notRun: inProgress');
-    store.expireLeases(AN_HOUR);
-    expect(await playOrder(survivor)).toEqual('unknown');
-    expect(runs).toEqual(1);
+    runTestOrder(createRouter('a', store, runThenWaitForever)).catch(() => undefined);
+    while (runCount === 0) await setImmediate();
+    const survivor = createRouter('b', store, runThenWaitForever);
+    expect(await runTestOrder(survivor)).toEqual('notRun: inProgress');
+    store.expireLeases(ONE_HOUR_SECONDS);
+    expect(await runTestOrder(survivor)).toEqual('unknown');
+    expect(runCount).toEqual(1);
   });
 
-  it('send nothing while the platform is away', async () => {
-    // The platform is down when an order arrives. Sent without a claim, a repeat at another router
-    // would run it again; so the caller is told that it was not run.
+  it('send nothing while the platform is unavailable', async () => {
+    // If the order were sent without a claim, a repeated order at another router would run it a
+    // second time. The router refuses the order instead.
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
-    const router = createRouter('a', store, target.runAttempts, [...LEASES_FINE, 'away']);
-    expect(await playOrder(router)).toEqual('notRun: platformAway');
-    expect(target.getRuns()).toEqual(0);
-    expect(await playOrder(router)).toEqual('done: run 1');
+    const target = createCountingTarget();
+    const router = createRouter('a', store, target.runAttempts, [...NO_LEASE_FAULTS, 'away']);
+    expect(await runTestOrder(router)).toEqual('notRun: platformAway');
+    expect(target.getRunCount()).toEqual(0);
+    expect(await runTestOrder(router)).toEqual('done: run 1');
   });
 
   for (const fault of ['lostBefore', 'lostAfter'] as const) {
-    it(`run once when the answer to the claim is lost (${fault})`, async () => {
-      // The platform takes the claim and its answer is lost on the way. Seeing only an error, the
-      // router would refuse an order whose key is now taken for a day, or claim it a second time.
+    it(`run once when the response to the claim is lost (${fault})`, async () => {
+      // The write of the claim may have taken effect although its response is lost. If the router
+      // treated this as a failure, it would refuse an order whose key then stays claimed for a day,
+      // or claim it a second time.
       const store = FakeStores.createFakeStore();
-      const target = createTarget();
-      const router = createRouter('a', store, target.runAttempts, [...LEASES_FINE, fault]);
-      expect(await playOrder(router)).toEqual('done: run 1');
-      expect(target.getRuns()).toEqual(1);
+      const target = createCountingTarget();
+      const router = createRouter('a', store, target.runAttempts, [...NO_LEASE_FAULTS, fault]);
+      expect(await runTestOrder(router)).toEqual('done: run 1');
+      expect(target.getRunCount()).toEqual(1);
     });
   }
 
-  it('free the key when every answer to the claim was lost', async () => {
-    // The claim took effect, but three answers in a row were lost, so nothing was sent. The key
-    // must not stay taken: the caller was told "not run" and comes back with it.
+  it('release the key when every response to the claim is lost', async () => {
+    // The claim took effect, but three responses in a row are lost, so nothing is sent. The key
+    // must not stay claimed: the caller receives "not run" and repeats the order with it.
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
-    const faults: readonly Fault[] = [...LEASES_FINE, 'lostAfter', 'lostAfter', 'lostAfter'];
+    const target = createCountingTarget();
+    const faults: readonly Fault[] = [...NO_LEASE_FAULTS, 'lostAfter', 'lostAfter', 'lostAfter'];
     const router = createRouter('a', store, target.runAttempts, faults);
-    expect(await playOrder(router)).toEqual('notRun: platformAway');
+    expect(await runTestOrder(router)).toEqual('notRun: platformAway');
     await router.writer.drain();
     expect(store.listEntries()).toEqual([]);
-    expect(await playOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
+    expect(await runTestOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
   });
 
-  it('free the key of an order that no target took', async () => {
-    // Every target refuses the connection. The caller is told "not run" and repeats with the same
-    // key, which must find it free.
+  it('release the key of an order that no target accepted', async () => {
+    // Every target refuses the connection, so the caller receives "not run" and repeats the order
+    // with the same key, which must not be claimed any more.
     const store = FakeStores.createFakeStore();
-    const refusing: RunAttempts = async () => ({
+    const refuseOrder: RunAttempts = async () => ({
       kind: 'notRun',
       reason: 'noTarget',
       message: 'refused',
       retryAfterSeconds: 1,
     });
-    expect(await playOrder(createRouter('a', store, refusing))).toEqual('notRun: noTarget');
-    const target = createTarget();
-    expect(await playOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
+    expect(await runTestOrder(createRouter('a', store, refuseOrder))).toEqual('notRun: noTarget');
+    const target = createCountingTarget();
+    expect(await runTestOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
   });
 
-  it('keep a result through an outage and answer repeats meanwhile', async () => {
-    // The platform goes down between the claim and the result. The result waits in the router,
-    // answers a repeat there, and is kept once the platform is back.
+  it('hold a result during an outage and answer repeated orders with it', async () => {
+    // The platform becomes unavailable between the claim and the result. The result stays pending
+    // in the router, answers a repeated order there, and is written when the platform is available.
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
+    const target = createCountingTarget();
     const outage: readonly Fault[] = ['away', 'away', 'lostBefore', 'lostAfter'];
     const router = createRouter('a', store, target.runAttempts, [
-      ...LEASES_FINE,
+      ...NO_LEASE_FAULTS,
       'none',
       ...outage,
     ]);
-    expect(await playOrder(router)).toEqual('done: run 1');
-    expect(await playOrder(router)).toEqual('done: run 1');
+    expect(await runTestOrder(router)).toEqual('done: run 1');
+    expect(await runTestOrder(router)).toEqual('done: run 1');
     await router.writer.drain();
-    expect(await playOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
-    expect(target.getRuns()).toEqual(1);
+    expect(await runTestOrder(createRouter('b', store, target.runAttempts))).toEqual('done: run 1');
+    expect(target.getRunCount()).toEqual(1);
   });
 
-  it('do not send when the router was paused past the claim', async () => {
-    // A router is paused between claim and sending until the claim's lease has ended and another
-    // router has run the order. Waking up, it still believes that the claim is its own.
+  it('do not send when the router was paused until the claim expired', async () => {
+    // A router is paused between claiming and sending, until the claim's lease has expired and
+    // another router may have run the order. After the pause it must not rely on its claim.
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
+    const target = createCountingTarget();
     const clock = FakeStores.createInstantClock();
     const pauseAfterWrite = async (): Promise<void> => {
       if (store.listEntries().length > 0) clock.advance(FakeRouters.CLAIM_SECONDS * 1_000);
     };
-    const slow = store.openStore(pauseAfterWrite, () => 'none');
+    const pausingClient = store.createClient(pauseAfterWrite, () => 'none');
     const router = FakeRouters.createFakeRouter({
       name: 'a',
-      store: slow,
+      store: pausingClient,
       clock,
       runAttempts: target.runAttempts,
     });
-    expect(await playOrder(router)).toEqual('notRun: overloaded');
-    expect(target.getRuns()).toEqual(0);
+    expect(await runTestOrder(router)).toEqual('notRun: overloaded');
+    expect(target.getRunCount()).toEqual(0);
   });
 
-  it('cost two calls for one order, two for thirty at once and one for a repeat', async () => {
+  it('use two calls for one order, two for thirty at once and one for a repeated order', async () => {
     const store = FakeStores.createFakeStore();
-    const target = createTarget();
+    const target = createCountingTarget();
     const router = createRouter('a', store, target.runAttempts);
-    const leaseCalls = LEASES_FINE.length;
-    await playOrder(router);
+    const leaseCalls = NO_LEASE_FAULTS.length;
+    await runTestOrder(router);
     await router.writer.drain();
     expect(store.getCallCount() - leaseCalls).toEqual(2);
     const keys = Array.from({ length: 30 }, (_, index) => `batch-${index}`);
@@ -213,7 +217,7 @@
     await Promise.all(orders.map(async (order) => router.runOrder(order)));
     await router.writer.drain();
     expect(store.getCallCount() - leaseCalls).toEqual(4);
-    await playOrder(router);
+    await runTestOrder(router);
     expect(store.getCallCount() - leaseCalls).toEqual(5);
     await router.runOrder(FakeRouters.createOrder({ method: 'PUT' }));
     expect(store.getCallCount() - leaseCalls).toEqual(5);
--- a/packages/sequoiarill-plugin-orders/src/__tests__/fakeRouter.ts
+++ b/packages/sequoiarill-plugin-orders/src/__tests__/fakeRouter.ts
@@ -1,4 +1,4 @@
-/** One router's orders over a shared fake store and a target that counts what it ran. */
+/** The order components of one router, with a given store, clock and function that sends orders. */
 import type {
   Clock,
   KeyValueStore,
@@ -13,8 +13,8 @@
 import * as Claims from '../claims';
 import * as ClaimWriters from '../claimWriter';
 import type { ClaimWriter } from '../claimWriter';
-import * as Orders from '../orders';
-import type { RunOrder } from '../orders';
+import * as OrderRunners from '../orderRunner';
+import type { RunOrder } from '../orderRunner';
 import * as TransactionBatches from '../transactionBatches';
 
 export const SERVICE: PlainService = {
@@ -69,22 +69,22 @@
   const batcher = TransactionBatches.createTransactionBatcher({
     store,
     clock,
-    windowMs: 3,
-    lazyMs: 50,
-    spacingMs: 30,
+    batchWindowMs: 3,
+    nonUrgentDelayMs: 50,
+    minCallIntervalMs: 30,
     recordCall: () => undefined,
   });
-  const leases = ClaimLeases.createLeaseBuckets(store, clock);
+  const leases = ClaimLeases.createLeaseCache(store, clock);
   const claimSeconds = CLAIM_SECONDS;
   const writer = ClaimWriters.createClaimWriter({
     batcher,
     leases,
     clock,
     claimSeconds,
-    recordDropped: () => undefined,
+    recordDroppedResult: () => undefined,
   });
   let claimCount = 0;
-  const claims = Claims.createClaimBook({
+  const claims = Claims.createClaimRegistry({
     batcher,
     leases,
     writer,
@@ -97,7 +97,7 @@
       return `${name}-${claimCount}`;
     },
   });
-  const runOrder = Orders.createOrders({
+  const runOrder = OrderRunners.createOrderRunner({
     clock,
     journal: { recordDecision: () => undefined, explainRequest: () => undefined },
     configuration: {
--- a/packages/sequoiarill-plugin-orders/src/__tests__/fakeStore.ts
+++ b/packages/sequoiarill-plugin-orders/src/__tests__/fakeStore.ts
@@ -1,4 +1,6 @@
-/** The platform's key-value service as one shared map, with faults and delays chosen by the test. */
+/**
+ * In-memory key-value service shared by several routers, with faults and delays set by the test.
+ */
 import type {
   Clock,
   KeyTransaction,
@@ -7,17 +9,17 @@
   LeaseGranted,
 } from '@sequoiarill/types';
 
-/** `lostBefore` and `lostAfter`: the answer is lost, without or with the effect. */
+/** `lostBefore` and `lostAfter`: the response is lost, without or with the effect of the write. */
 export type Fault = 'none' | 'away' | 'lostBefore' | 'lostAfter';
 
-type ClaimStore = Pick<KeyValueStore, 'writeTransaction' | 'grantLease'>;
+type StoreClient = Pick<KeyValueStore, 'writeTransaction' | 'grantLease'>;
 type WriteResult = Awaited<ReturnType<KeyValueStore['writeTransaction']>>;
 
 export interface FakeStore {
-  /** One router's way to the store. */
-  readonly openStore: (delay: () => Promise<void>, nextFault: () => Fault) => ClaimStore;
+  /** Creates the client of one router, with its own delays and faults. */
+  readonly createClient: (waitDelay: () => Promise<void>, takeFault: () => Fault) => StoreClient;
   readonly listEntries: () => readonly KeyValueEntry[];
-  /** Ends all leases whose length is below the given seconds. */
+  /** Expires all leases that were granted for less than this time. */
   readonly expireLeases: (belowSeconds: number) => void;
   readonly getCallCount: () => number;
 }
@@ -30,16 +32,16 @@
   const entries = new Map<string, StoredEntry>();
   const leaseSeconds = new Map<string, number>();
   let revision = 0;
-  let calls = 0;
+  let callCount = 0;
 
   function applyTransaction({ comparisons, writes }: KeyTransaction): WriteResult {
     if (new Set(writes.map(({ key }) => key)).size !== writes.length) {
       return { kind: 'unavailable', message: 'duplicate key given in transaction' };
     }
-    const isHeld = comparisons.every(
-      (one) => (entries.get(one.key)?.revision ?? 0) === one.revision,
+    const isMatching = comparisons.every(
+      (comparison) => (entries.get(comparison.key)?.revision ?? 0) === comparison.revision,
     );
-    if (!isHeld) {
+    if (!isMatching) {
       const current = comparisons.flatMap(({ key }) => entries.get(key) ?? []);
       return { kind: 'conflict', revision, current };
     }
@@ -56,21 +58,21 @@
   }
 
   return {
-    openStore: (delay, nextFault) => ({
+    createClient: (waitDelay, takeFault) => ({
       async writeTransaction(transaction) {
-        calls += 1;
-        const fault = nextFault();
-        await delay();
+        callCount += 1;
+        const fault = takeFault();
+        await waitDelay();
         if (fault === 'away') return { kind: 'unavailable', message: 'away' };
         if (fault === 'lostBefore') return { kind: 'unknown', message: 'lost' };
         const result = applyTransaction(transaction);
-        await delay();
+        await waitDelay();
         return fault === 'lostAfter' ? { kind: 'unknown', message: 'lost' } : result;
       },
       async grantLease(ttlSeconds) {
-        calls += 1;
-        const fault = nextFault();
-        await delay();
+        callCount += 1;
+        const fault = takeFault();
+        await waitDelay();
         if (fault === 'away') return { kind: 'unavailable', message: 'away' };
         const leaseId = `lease-${leaseSeconds.size + 1}`;
         leaseSeconds.set(leaseId, ttlSeconds);
@@ -85,11 +87,11 @@
         if (seconds < belowSeconds) entries.delete(key);
       }
     },
-    getCallCount: () => calls,
+    getCallCount: () => callCount,
   };
 }
 
-/** A clock that a test moves; waits end when it says so or at once when aborted. */
+/** A clock that only `advance` moves; every wait ends at once. */
 export function createInstantClock(): Clock & { readonly advance: (ms: number) => void } {
   let nowMs = 0;
   return {
@@ -103,7 +105,7 @@
   };
 }
 
-/** What a dead router waits for. */
+/** Stands for the rest of the work of a router that has crashed. */
 export async function waitForever(): Promise<never> {
   return new Promise<never>(() => {
     // Never settles.
--- a/packages/sequoiarill-plugin-orders/src/__tests__/transactionBatches.test.ts
+++ b/packages/sequoiarill-plugin-orders/src/__tests__/transactionBatches.test.ts
@@ -8,9 +8,9 @@
 import * as FakeStores from './fakeStore';
 import type { FakeStore } from './fakeStore';
 
-const SPACING_MS = 40;
+const MIN_CALL_INTERVAL_MS = 40;
 
-/** Time passes only where the batcher waits. */
+/** A clock that advances only by the waits of the batcher. */
 function createSteppingClock(): Clock {
   let nowMs = 0;
   return {
@@ -25,14 +25,14 @@
 
 function createBatcher(store: FakeStore, clock: Clock): TransactionBatcher {
   return TransactionBatches.createTransactionBatcher({
-    store: store.openStore(
+    store: store.createClient(
       async () => undefined,
       () => 'none',
     ),
     clock,
-    windowMs: 3,
-    lazyMs: 50,
-    spacingMs: SPACING_MS,
+    batchWindowMs: 3,
+    nonUrgentDelayMs: 50,
+    minCallIntervalMs: MIN_CALL_INTERVAL_MS,
     recordCall: () => undefined,
   });
 }
@@ -42,26 +42,28 @@
 }
 
 async function writeAll(batcher: TransactionBatcher, keys: readonly string[]) {
-  const results = await Promise.all(keys.map((key) => batcher.writeItem(createClaim(key), true)));
+  const results = await Promise.all(
+    keys.map((key) => batcher.writeTransaction(createClaim(key), true)),
+  );
   return results.map(({ kind }) => kind);
 }
 
 describe('batches of transactions', () => {
-  it('keep the rate of calls bounded in a burst', async () => {
-    // A thousand orders come at once after a sale opens. Claimed one by one, this router alone
-    // would use up the platform's writes of several seconds, and configuration changes would wait.
+  it('limit the rate of calls in a burst', async () => {
+    // 1,000 orders arrive at once. With one call per claim, this router alone would use up the
+    // platform's writes of several seconds and delay configuration changes.
     const store = FakeStores.createFakeStore();
     const clock = createSteppingClock();
     const keys = Array.from({ length: 1_000 }, (_, index) => `key-${index}`);
     const kinds = await writeAll(createBatcher(store, clock), keys);
     expect(new Set(kinds)).toEqual(new Set(['written']));
     expect(store.getCallCount()).toEqual(32);
-    expect(clock.getNowMs() >= 31 * SPACING_MS).toEqual(true);
+    expect(clock.getNowMs() >= 31 * MIN_CALL_INTERVAL_MS).toEqual(true);
   });
 
-  it('settle conflicts without a call for each', async () => {
-    // One caller repeats old orders among new ones of others. The repeats must not fail the new
-    // ones, and not multiply the calls.
+  it('resolve several conflicts with one additional call', async () => {
+    // A caller repeats old orders while other callers send new ones. The conflicts of the repeated
+    // orders must not fail the new ones or multiply the calls.
     const store = FakeStores.createFakeStore();
     const batcher = createBatcher(store, createSteppingClock());
     await writeAll(batcher, ['old-1', 'old-2']);
@@ -70,9 +72,9 @@
     expect(store.getCallCount()).toEqual(3);
   });
 
-  it('put one key into a batch only once', async () => {
-    // A double click brings one key twice to one router. The service refuses a transaction that
-    // writes a key twice, and everybody's claims in it would fail.
+  it('contain each key only once', async () => {
+    // A double click sends the same key twice to one router. The service rejects a transaction that
+    // writes a key twice, which would fail all claims in the batch.
     const store = FakeStores.createFakeStore();
     const batcher = createBatcher(store, createSteppingClock());
     const kinds = await writeAll(batcher, ['same', 'same', 'other']);
--- a/packages/sequoiarill-plugin-orders/src/attempts.ts
+++ b/packages/sequoiarill-plugin-orders/src/attempts.ts
@@ -1,4 +1,4 @@
-/** Sends an order to its service: how often, where, and what the failures add up to. */
+/** Sends an order to targets of its service, with retries, and derives its outcome. */
 import type {
   Clock,
   OrderOutcome,
@@ -7,84 +7,90 @@
   ServiceTarget,
 } from '@sequoiarill/types';
 
+import type { AttemptAnswered, AttemptResult, SendOrder } from './orderSender';
 import type { RetryBudget } from './retryBudget';
-import type { SendingAnswered, SendingResult, SendOrder } from './sending';
 import type { TargetChooser } from './targetChoice';
 
-/** Three targets that fail in a row mean that the service is away, not a target. */
-const MAX_SENDINGS = 3;
-/** As long as targets are passed over. */
+/** Three failing targets in a row mean that the service is unavailable, not a single target. */
+const MAX_ATTEMPTS = 3;
+/** Matches the default time for which a target is skipped after a failed connection. */
 const RETRY_AFTER_SECONDS = 2;
 
-export interface AttemptOptions {
+export interface AttemptRunnerOptions {
   readonly clock: Clock;
   readonly chooser: TargetChooser;
   readonly budget: RetryBudget;
   readonly sendOrder: SendOrder;
   readonly listTargets: (service: string) => readonly ServiceTarget[];
-  /** Told of each sending, in order. */
-  readonly recordSending: (
+  /** Called after each attempt, in their order. */
+  readonly recordAttempt: (
     order: OrderRequest,
     target: ServiceTarget,
-    result: SendingResult,
+    result: AttemptResult,
   ) => void;
 }
 
 export type RunAttempts = (
   order: OrderRequest,
   service: PlainService,
-  /** Whether it may be sent again after bytes may have reached a target. */
+  /** Whether a retry is allowed once bytes of the order may have reached a target. */
   canResend: boolean,
   signal: AbortSignal,
 ) => Promise<OrderOutcome>;
 
-/** A `notSent` lets any order go on elsewhere; an `unanswered` one only what may run twice. */
-export function createAttempts(options: AttemptOptions): RunAttempts {
+/**
+ * After `notSent`, every order may be sent to another target; after `unanswered`, only an order
+ * that may run twice.
+ */
+export function createAttemptRunner(options: AttemptRunnerOptions): RunAttempts {
   const { clock, chooser, budget } = options;
 
-  async function sendTo(
+  async function sendToTarget(
     target: ServiceTarget,
     order: OrderRequest,
     signal: AbortSignal,
-  ): Promise<SendingResult> {
+  ): Promise<AttemptResult> {
     chooser.addInFlight(target.name);
     const result = await options.sendOrder(target.address, order, signal);
     chooser.removeInFlight(target.name);
     if (result.kind === 'answered') chooser.recordAnswer(target.name);
     if (result.kind === 'notSent' && result.isTargetFault) {
-      chooser.markPassedOver(target.name, clock.getNowMs());
+      chooser.markConnectionFailed(target.name, clock.getNowMs());
     }
-    options.recordSending(order, target, result);
+    options.recordAttempt(order, target, result);
     return result;
   }
 
   return async function runAttempts(order, service, canResend, signal) {
-    const tried = new Set<string>();
-    const isFull = chooser.hasFull(options.listTargets(service.name));
-    let hasLeft = false;
-    let message = `no target of "${service.name}" takes orders right now.`;
-    budget.addFirst();
-    for (let sending = 0; sending < MAX_SENDINGS && !signal.aborted; sending += 1) {
+    const triedTargets = new Set<string>();
+    const hasFullTarget = chooser.hasFullTarget(options.listTargets(service.name));
+    let mayHaveRun = false;
+    let message = `no target of "${service.name}" currently accepts orders.`;
+    budget.addFirstAttempt();
+    for (let attempt = 0; attempt < MAX_ATTEMPTS && !signal.aborted; attempt += 1) {
       const target = chooser.chooseTarget(
         options.listTargets(service.name),
-        tried,
+        triedTargets,
         clock.getNowMs(),
       );
-      if (target === undefined || (sending > 0 && !budget.takeRetry())) break;
-      tried.add(target.name);
-      const result = await sendTo(target, order, signal);
+      if (target === undefined || (attempt > 0 && !budget.takeRetry())) break;
+      triedTargets.add(target.name);
+      const result = await sendToTarget(target, order, signal);
       if (result.kind === 'answered') return result.answer;
       message = `${target.name}: ${result.message}.`;
-      hasLeft ||= result.kind === 'unanswered';
-      if (isFinal(result, canResend)) break;
+      mayHaveRun ||= result.kind === 'unanswered';
+      if (isFinalResult(result, canResend)) break;
     }
-    if (hasLeft) return { kind: 'unknown', message };
-    const reason = isFull ? 'overloaded' : 'noTarget';
+    if (mayHaveRun) return { kind: 'unknown', message };
+    const reason = hasFullTarget ? 'overloaded' : 'noTarget';
     return { kind: 'notRun', reason, message, retryAfterSeconds: RETRY_AFTER_SECONDS };
   };
 }
 
-/** Whether another target must not or need not be tried. */
-function isFinal(result: Exclude<SendingResult, SendingAnswered>, canResend: boolean): boolean {
+/** Whether trying another target is not allowed or would not help. */
+function isFinalResult(
+  result: Exclude<AttemptResult, AttemptAnswered>,
+  canResend: boolean,
+): boolean {
   return result.kind === 'notSent' ? !result.isTargetFault : !canResend;
 }
--- a/packages/sequoiarill-plugin-orders/src/claimLeases.ts
+++ b/packages/sequoiarill-plugin-orders/src/claimLeases.ts
@@ -1,51 +1,56 @@
-/** Leases for claims: one for many, so that a claim costs no call of its own. */
+/**
+ * Shares leases between claims, so that a claim needs no call to the platform for its own lease.
+ */
 import type { Clock, KeyValueStore } from '@sequoiarill/types';
 
-export interface LeaseBuckets {
-  /** A lease that lasts for at least so many seconds; `undefined` while the platform is away. */
-  readonly getLease: (seconds: number) => Promise<string | undefined>;
-  /** Forgets the leases at hand, since one of them may be gone. */
+export interface LeaseCache {
+  /** A lease with at least this remaining time; `undefined` if the platform granted none. */
+  readonly getLeaseId: (seconds: number) => Promise<string | undefined>;
+  /** Clears the cache, since one of the leases may have expired. */
   readonly removeLeases: () => void;
 }
 
-interface Bucket {
-  readonly openedMs: number;
+interface CachedLease {
+  readonly requestedMs: number;
   readonly leaseId: Promise<string | undefined>;
 }
 
-/** A bucket takes claims for this share of its minimal life, and lives so much longer. */
-const OPEN_SHARE = 0.25;
+/**
+ * A lease is reused for this share of the requested time, and granted for that much longer, so that
+ * the last claim under it is still stored for the whole requested time.
+ */
+const REUSE_SHARE = 0.25;
 const MS_PER_SECOND = 1_000;
 
-export function createLeaseBuckets(
+export function createLeaseCache(
   store: Pick<KeyValueStore, 'grantLease'>,
   clock: Clock,
-): LeaseBuckets {
-  const buckets = new Map<number, Bucket>();
+): LeaseCache {
+  const leases = new Map<number, CachedLease>();
 
-  /** A lost answer leaves a lease that nothing uses and that ends by itself. */
-  async function openLease(seconds: number): Promise<string | undefined> {
-    const result = await store.grantLease(Math.ceil(seconds * (1 + OPEN_SHARE)));
+  /** If the response is lost, the granted lease stays unused and expires by itself. */
+  async function acquireLease(seconds: number): Promise<string | undefined> {
+    const result = await store.grantLease(Math.ceil(seconds * (1 + REUSE_SHARE)));
     return result.kind === 'granted' ? result.leaseId : undefined;
   }
 
-  function openBucket(seconds: number): Bucket {
-    const bucket: Bucket = { openedMs: clock.getNowMs(), leaseId: openLease(seconds) };
-    buckets.set(seconds, bucket);
-    return bucket;
+  function addLease(seconds: number): CachedLease {
+    const lease: CachedLease = { requestedMs: clock.getNowMs(), leaseId: acquireLease(seconds) };
+    leases.set(seconds, lease);
+    return lease;
   }
 
   return {
-    async getLease(seconds) {
-      const known = buckets.get(seconds);
-      const isOpen =
-        known !== undefined &&
-        clock.getNowMs() - known.openedMs < seconds * OPEN_SHARE * MS_PER_SECOND;
-      const bucket = isOpen ? known : openBucket(seconds);
-      const leaseId = await bucket.leaseId;
-      if (leaseId === undefined && buckets.get(seconds) === bucket) buckets.delete(seconds);
+    async getLeaseId(seconds) {
+      const existing = leases.get(seconds);
+      const isReusable =
+        existing !== undefined &&
+        clock.getNowMs() - existing.requestedMs < seconds * REUSE_SHARE * MS_PER_SECOND;
+      const lease = isReusable ? existing : addLease(seconds);
+      const leaseId = await lease.leaseId;
+      if (leaseId === undefined && leases.get(seconds) === lease) leases.delete(seconds);
       return leaseId;
     },
-    removeLeases: () => buckets.clear(),
+    removeLeases: () => leases.clear(),
   };
 }
--- a/packages/sequoiarill-plugin-orders/src/claimRecords.ts
+++ b/packages/sequoiarill-plugin-orders/src/claimRecords.ts
@@ -1,21 +1,22 @@
-/** What is kept of a claimed order in the key-value service. */
+/** Records of claimed orders, as stored in the key-value service. */
 import * as Crypto from 'node:crypto';
 
 import type { OrderDone, OrderRequest } from '@sequoiarill/types';
 import * as Zod from 'zod';
 
-/** Where one order is claimed. */
-export interface ClaimPlace {
+/** The two keys under which an order is claimed. */
+export interface ClaimKeys {
   readonly claimKey: string;
-  readonly openKey: string;
+  /** Exists while the order may still be in progress. */
+  readonly openMarkerKey: string;
 }
 
-/** What makes two orders the same one, or a wrong repeat of it. */
+/** Identifies an order, and detects the reuse of its key for another request. */
 export interface ClaimIdentity {
   readonly organisation: string;
   readonly service: string;
   readonly idempotencyKey: string;
-  /** Digest of what would be sent. */
+  /** Hash of the request that is sent to the service. */
   readonly requestHash: string;
   readonly requestId: string;
 }
@@ -28,8 +29,8 @@
 });
 
 /**
- * `sent` is written before the order is sent, so it says that the order may have run; `done` and
- * `unknown` say how it ended. `done` without an answer: the answer was too large to be kept.
+ * `sent` is written before the order is sent and means that the order may have run; `done` and
+ * `unknown` are its outcomes. `done` without `answer` means that the answer was too large to store.
  */
 const recordSchema = Zod.strictObject({
   claimId: Zod.string(),
@@ -42,16 +43,18 @@
 
 export type ClaimRecord = Readonly<Zod.infer<typeof recordSchema>>;
 
-/** Larger answers are not kept; see docs/callers/IDEMPOTENCY.md. */
-const MAX_ANSWER_BYTES = 16_384;
+/** Larger answers are not stored; see docs/callers/IDEMPOTENCY.md. */
+const MAX_STORED_ANSWER_BYTES = 16_384;
 
-/** The same for the same key of one organisation at one service, and for nothing else. */
+/**
+ * Hashes the organisation, the service and the idempotency key, which together identify a claim.
+ */
 export function hashClaimKey(identity: ClaimIdentity): string {
   const parts = [identity.organisation, identity.service, identity.idempotencyKey];
   return Crypto.createHash('sha256').update(JSON.stringify(parts)).digest('hex');
 }
 
-/** Covers what a service would act on: method, path, type of the body and the body. */
+/** Covers what a service acts on: method, path, content type and body. */
 export function hashRequest(order: OrderRequest): string {
   const head = JSON.stringify([order.method, order.path, order.headers['content-type'] ?? '']);
   return Crypto.createHash('sha256').update(head).update(order.body).digest('hex');
@@ -61,7 +64,9 @@
   return JSON.stringify(record);
 }
 
-/** `undefined` for a record of another version: it may have run, and more cannot be known. */
+/**
+ * `undefined` for a record in another format; its order may have run, and its state is not known.
+ */
 export function decodeRecord(value: string): ClaimRecord | undefined {
   try {
     const result = recordSchema.safeParse(JSON.parse(value));
@@ -71,11 +76,11 @@
   }
 }
 
-/** The kept part of an answer; `undefined` if it is too large. */
+/** The part of an answer that is stored; `undefined` if it is too large. */
 export function encodeAnswer(done: OrderDone): ClaimRecord['answer'] {
   const body = Buffer.from(done.body).toString('base64');
   const answer = { status: done.status, headers: { ...done.headers }, body };
-  return JSON.stringify(answer).length <= MAX_ANSWER_BYTES ? answer : undefined;
+  return JSON.stringify(answer).length <= MAX_STORED_ANSWER_BYTES ? answer : undefined;
 }
 
 export function decodeAnswer(answer: NonNullable<ClaimRecord['answer']>): OrderDone {
--- a/packages/sequoiarill-plugin-orders/src/claimWriter.ts
+++ b/packages/sequoiarill-plugin-orders/src/claimWriter.ts
@@ -1,61 +1,64 @@
-/** Writes how claimed orders ended, also when the platform is away for a while. */
+/** Writes the results of claimed orders, with retries while the platform is unavailable. */
 import { setMaxListeners } from 'node:events';
 
 import type { Clock, KeyTransaction } from '@sequoiarill/types';
 
-import type { LeaseBuckets } from './claimLeases';
+import type { LeaseCache } from './claimLeases';
 import * as Records from './claimRecords';
-import type { ClaimPlace, ClaimRecord } from './claimRecords';
+import type { ClaimKeys, ClaimRecord } from './claimRecords';
 import type { TransactionBatcher } from './transactionBatches';
 
 export interface ClaimWriter {
-  /** Keeps a result; tried until it is kept, displaced or too many wait. */
-  readonly writeResult: (place: ClaimPlace, record: ClaimRecord, revision: number) => void;
-  /** Removes the claim of an order that was not sent; resolves after the first try. */
-  readonly releaseClaim: (place: ClaimPlace, claimId: string, revision: number) => Promise<void>;
-  /** Removes a claim that may or may not have been written, of an order that was not sent. */
-  readonly removeUnsent: (place: ClaimPlace, claimId: string) => void;
-  /** Whether this router knows that the order of the claim was never sent. */
-  readonly isUnsent: (claimId: string) => boolean;
-  /** The result of an order that is not kept yet. */
-  readonly findPending: (place: ClaimPlace) => ClaimRecord | undefined;
-  readonly getPendingCount: () => number;
-  /** Resolves when nothing waits to be written. */
+  /**
+   * Stores a result in the background. Retries until it is written, its claim no longer exists, or
+   * too many results are pending.
+   */
+  readonly writeResult: (claimKeys: ClaimKeys, record: ClaimRecord, revision: number) => void;
+  /** Removes the claim of an order that was not sent; resolves after the first attempt. */
+  readonly releaseClaim: (claimKeys: ClaimKeys, claimId: string, revision: number) => Promise<void>;
+  /** Removes the claim of an order that was not sent, if the claim was written at all. */
+  readonly removeUnsentClaim: (claimKeys: ClaimKeys, claimId: string) => void;
+  /** Whether this router recorded that the order of this claim was not sent. */
+  readonly isUnsentClaim: (claimId: string) => boolean;
+  /** The result of an order that is not written yet. */
+  readonly findPendingResult: (claimKeys: ClaimKeys) => ClaimRecord | undefined;
+  readonly getPendingResultCount: () => number;
+  /** Resolves when no write or removal is pending. */
   readonly drain: () => Promise<void>;
-  /** Stops trying. */
+  /** Stops the retries. */
   readonly close: () => void;
 }
 
 export interface ClaimWriterOptions {
   readonly batcher: TransactionBatcher;
-  readonly leases: LeaseBuckets;
+  readonly leases: LeaseCache;
   readonly clock: Clock;
   readonly claimSeconds: number;
-  /** Told of each result that is given up. */
-  readonly recordDropped: (record: ClaimRecord, reason: string) => void;
+  /** Called for each result that is dropped without being stored. */
+  readonly recordDroppedResult: (record: ClaimRecord, reason: string) => void;
 }
 
-/** Between tries while the platform is away. */
-const RETRY_MS = 1_000;
-/** 16 MB of answers at most; orders of a few minutes of an outage. */
-const MAX_PENDING = 1_024;
-/** Ids only; more than the orders of a long outage. */
-const MAX_UNSENT = 10_000;
+/** Delay between attempts while the platform is unavailable. */
+const RETRY_DELAY_MS = 1_000;
+/** At most 16 MB of answers; enough for the orders of a few minutes of an outage. */
+const MAX_PENDING_RESULTS = 1_024;
+/** Only claim ids are held; the limit exceeds the number of orders in a long outage. */
+const MAX_UNSENT_IDS = 10_000;
 
 export function createClaimWriter(options: ClaimWriterOptions): ClaimWriter {
   const { batcher, leases, clock } = options;
-  const pending = new Map<string, ClaimRecord>();
-  const unsent = new Set<string>();
+  const pendingResults = new Map<string, ClaimRecord>();
+  const unsentIds = new Set<string>();
   const tasks = new Set<Promise<void>>();
-  const closing = new AbortController();
-  // Every result that waits for the platform waits for it too.
-  setMaxListeners(0, closing.signal);
+  const closeController = new AbortController();
+  // Every pending result adds a listener, so the default limit of listeners does not apply.
+  setMaxListeners(0, closeController.signal);
 
-  /** Runs until it says that it is done; waits between tries. */
+  /** Runs `runOnce` until it resolves to `true`, with a delay between the attempts. */
   function startTask(runOnce: () => Promise<boolean>): void {
     async function runTask(): Promise<void> {
-      while (!closing.signal.aborted && !(await runOnce())) {
-        await clock.waitMs(RETRY_MS, closing.signal);
+      while (!closeController.signal.aborted && !(await runOnce())) {
+        await clock.waitMs(RETRY_DELAY_MS, closeController.signal);
       }
     }
     const task = runTask();
@@ -64,83 +67,90 @@
     task.then(removeTask, removeTask);
   }
 
-  function addUnsent(claimId: string): void {
-    unsent.add(claimId);
-    const [oldest] = unsent;
-    if (unsent.size > MAX_UNSENT && oldest !== undefined) unsent.delete(oldest);
+  function addUnsentClaim(claimId: string): void {
+    unsentIds.add(claimId);
+    const [oldest] = unsentIds;
+    if (unsentIds.size > MAX_UNSENT_IDS && oldest !== undefined) unsentIds.delete(oldest);
   }
 
-  /** The write replaces exactly the claim it belongs to, so it can be repeated safely. */
-  async function writeOnce(
-    place: ClaimPlace,
+  /** Replaces the claim only at its own revision, so that the write can be retried safely. */
+  async function writeResultOnce(
+    claimKeys: ClaimKeys,
     record: ClaimRecord,
     revision: number,
   ): Promise<boolean> {
-    const leaseId = await leases.getLease(options.claimSeconds);
+    const leaseId = await leases.getLeaseId(options.claimSeconds);
     if (leaseId === undefined) return false;
     const value = Records.encodeRecord(record);
-    const item: KeyTransaction = {
-      comparisons: [{ key: place.claimKey, revision }],
-      writes: [{ key: place.claimKey, value, leaseId }, { key: place.openKey }],
+    const transaction: KeyTransaction = {
+      comparisons: [{ key: claimKeys.claimKey, revision }],
+      writes: [{ key: claimKeys.claimKey, value, leaseId }, { key: claimKeys.openMarkerKey }],
     };
-    const result = await batcher.writeItem(item, false);
+    const result = await batcher.writeTransaction(transaction, false);
     if (result.kind === 'unavailable') leases.removeLeases();
     if (result.kind !== 'conflict') return result.kind === 'written';
-    const entry = result.current.find(({ key }) => key === place.claimKey);
+    const entry = result.current.find(({ key }) => key === claimKeys.claimKey);
     const current = entry === undefined ? undefined : Records.decodeRecord(entry.value);
-    const isKept = current?.claimId === record.claimId && current.state === record.state;
-    if (!isKept) options.recordDropped(record, 'its claim is gone');
+    const isStored = current?.claimId === record.claimId && current.state === record.state;
+    if (!isStored) options.recordDroppedResult(record, 'its claim no longer exists');
     return true;
   }
 
-  /** `revision` 0 when it is not known whether the claim was written. */
-  async function removeOnce(
-    place: ClaimPlace,
+  /** `revision` is 0 if it is not known whether the claim was written. */
+  async function removeClaimOnce(
+    claimKeys: ClaimKeys,
     claimId: string,
     revision: number,
   ): Promise<boolean> {
-    const item: KeyTransaction = {
-      comparisons: [{ key: place.claimKey, revision }],
-      writes: [{ key: place.claimKey }, { key: place.openKey }],
+    const transaction: KeyTransaction = {
+      comparisons: [{ key: claimKeys.claimKey, revision }],
+      writes: [{ key: claimKeys.claimKey }, { key: claimKeys.openMarkerKey }],
     };
-    const result = await batcher.writeItem(item, true);
+    const result = await batcher.writeTransaction(transaction, true);
     if (result.kind === 'written') return true;
     if (result.kind !== 'conflict') return false;
-    const entry = result.current.find(({ key }) => key === place.claimKey);
+    const entry = result.current.find(({ key }) => key === claimKeys.claimKey);
     const isOwn = entry !== undefined && Records.decodeRecord(entry.value)?.claimId === claimId;
-    return isOwn ? removeOnce(place, claimId, entry.revision) : true;
+    return isOwn ? removeClaimOnce(claimKeys, claimId, entry.revision) : true;
   }
 
   return {
-    writeResult(place, record, revision) {
-      pending.set(place.claimKey, record);
-      const [oldestKey, oldest] = [...pending.entries()][0] ?? [];
-      if (pending.size > MAX_PENDING && oldestKey !== undefined && oldest !== undefined) {
-        pending.delete(oldestKey);
-        options.recordDropped(oldest, 'too many results wait for the platform');
+    writeResult(claimKeys, record, revision) {
+      pendingResults.set(claimKeys.claimKey, record);
+      const [oldestClaimKey, oldest] = [...pendingResults.entries()][0] ?? [];
+      if (
+        pendingResults.size > MAX_PENDING_RESULTS &&
+        oldestClaimKey !== undefined &&
+        oldest !== undefined
+      ) {
+        pendingResults.delete(oldestClaimKey);
+        options.recordDroppedResult(
+          oldest,
+          'too many results are waiting to be written to the platform',
+        );
       }
       startTask(async () => {
-        if (pending.get(place.claimKey) !== record) return true;
-        const isWritten = await writeOnce(place, record, revision);
-        if (isWritten) pending.delete(place.claimKey);
+        if (pendingResults.get(claimKeys.claimKey) !== record) return true;
+        const isWritten = await writeResultOnce(claimKeys, record, revision);
+        if (isWritten) pendingResults.delete(claimKeys.claimKey);
         return isWritten;
       });
     },
-    async releaseClaim(place, claimId, revision) {
-      addUnsent(claimId);
-      const isRemoved = await removeOnce(place, claimId, revision);
-      if (!isRemoved) startTask(() => removeOnce(place, claimId, revision));
+    async releaseClaim(claimKeys, claimId, revision) {
+      addUnsentClaim(claimId);
+      const isRemoved = await removeClaimOnce(claimKeys, claimId, revision);
+      if (!isRemoved) startTask(() => removeClaimOnce(claimKeys, claimId, revision));
     },
-    removeUnsent(place, claimId) {
-      addUnsent(claimId);
-      startTask(() => removeOnce(place, claimId, 0));
+    removeUnsentClaim(claimKeys, claimId) {
+      addUnsentClaim(claimId);
+      startTask(() => removeClaimOnce(claimKeys, claimId, 0));
     },
-    isUnsent: (claimId) => unsent.has(claimId),
-    findPending: (place) => pending.get(place.claimKey),
-    getPendingCount: () => pending.size,
+    isUnsentClaim: (claimId) => unsentIds.has(claimId),
+    findPendingResult: (claimKeys) => pendingResults.get(claimKeys.claimKey),
+    getPendingResultCount: () => pendingResults.size,
     async drain() {
       while (tasks.size > 0) await Promise.all([...tasks]);
     },
-    close: () => closing.abort(),
+    close: () => closeController.abort(),
   };
 }
--- a/packages/sequoiarill-plugin-orders/src/claims.ts
+++ b/packages/sequoiarill-plugin-orders/src/claims.ts
@@ -1,37 +1,39 @@
 /**
- * At most once across routers: an order that may not be repeated is claimed in the platform's
- * key-value service before it is sent, under its organisation, service and `Idempotency-Key`.
+ * Runs an order at most once across all routers: an order that must not run twice is claimed in the
+ * platform's key-value service before it is sent, under its organisation, service and
+ * `Idempotency-Key`.
  *
- * Two keys are written in one transaction that demands that neither exists. The claim lasts for a
- * day and holds how the order ended. The open mark lasts a little longer than the order may take,
- * and is removed with its result: while it is there, a repeat is told "in progress"; once it is
- * gone without a result, the claiming router died or lost the answer, and a repeat is told
- * "unknown". The platform's own leases thus tell time, and no two clocks are compared.
+ * Two keys are written in one transaction, on condition that neither exists. The claim is stored
+ * for a day by default and holds the outcome of the order. The open marker is stored for a little
+ * longer than the order may take and is removed when the result is written. While the marker
+ * exists, a repeated order gets "in progress". If it expires without a result, the claiming router
+ * crashed or lost the answer, and a repeated order gets "unknown". Expiry is decided by the
+ * platform's leases alone, so the clocks of two machines are never compared.
  */
 import * as Crypto from 'node:crypto';
 
 import type { Clock, KeyValueConflict, OrderDone } from '@sequoiarill/types';
 
-import type { LeaseBuckets } from './claimLeases';
+import type { LeaseCache } from './claimLeases';
 import * as Records from './claimRecords';
-import type { ClaimIdentity, ClaimPlace, ClaimRecord } from './claimRecords';
+import type { ClaimIdentity, ClaimKeys, ClaimRecord } from './claimRecords';
 import type { ClaimWriter } from './claimWriter';
 import type { TransactionBatcher } from './transactionBatches';
 
-/** This router holds the claim and may send the order once. */
+/** The claim belongs to this router, which may send the order once. */
 export interface HeldClaim {
   readonly kind: 'held';
-  /** Whether the claim is surely still held; look right before sending. */
-  readonly isFresh: () => boolean;
-  /** Keeps the answer for repeats; does not wait until it is kept. */
+  /** Whether the claim is certainly still valid; to be checked right before sending. */
+  readonly isStillHeld: () => boolean;
+  /** Stores the answer for repeated orders, without waiting for the write. */
   readonly recordDone: (done: OrderDone) => void;
-  /** Keeps that the outcome is unknown. */
+  /** Stores that the outcome is unknown, without waiting for the write. */
   readonly recordUnknown: () => void;
-  /** Gives up the claim of an order that was not sent, so that a repeat may run. */
+  /** Removes the claim of an order that was not sent, so that a repeated order can run. */
   readonly release: () => Promise<void>;
 }
 
-/** The order ended before; this is its answer. */
+/** The order completed earlier, with this answer. */
 export interface ClaimRepeated {
   readonly kind: 'repeated';
   readonly done: OrderDone;
@@ -39,22 +41,22 @@
 
 export interface ClaimRefused {
   /**
-   * `unknown`: it was sent before, and how it ended cannot be told. `away`: the platform took no
-   * claim; nothing was sent.
+   * `unknown`: the order was sent earlier and its outcome is not known. `away`: no claim could be
+   * written to the platform, and nothing was sent.
    */
   readonly kind: 'keyReused' | 'inProgress' | 'unknown' | 'away';
 }
 
 export type ClaimResult = HeldClaim | ClaimRepeated | ClaimRefused;
 
-export interface ClaimBook {
-  /** `maxSeconds`: how long the order may take once it is sent. */
+export interface ClaimRegistry {
+  /** `maxSeconds`: time limit of the order once it is sent. */
   readonly reserveOrder: (identity: ClaimIdentity, maxSeconds: number) => Promise<ClaimResult>;
 }
 
-export interface ClaimBookOptions {
+export interface ClaimRegistryOptions {
   readonly batcher: TransactionBatcher;
-  readonly leases: LeaseBuckets;
+  readonly leases: LeaseCache;
   readonly writer: ClaimWriter;
   readonly clock: Clock;
   readonly router: string;
@@ -63,44 +65,49 @@
   readonly createClaimId?: () => string;
 }
 
-/** A claim as it was written. */
+/** A claim and the revision at which it was written. */
 interface WrittenClaim {
   readonly record: ClaimRecord;
-  readonly place: ClaimPlace;
+  readonly claimKeys: ClaimKeys;
   readonly revision: number;
 }
 
-/** A lost answer is asked for again so often; an outage ends sooner, since it had no effect. */
-const MAX_WRITES = 3;
-/** Room for the round trips around the sending, on top of the time the order may take. */
-const MARGIN_SECONDS = 30;
+/**
+ * Maximum number of writes of a claim whose responses are lost. If the platform is unavailable, the
+ * first write is also the last one, since it certainly had no effect.
+ */
+const MAX_CLAIM_WRITES = 3;
+/** Time for the calls to the platform before and after the order, in addition to its time limit. */
+const ROUND_TRIP_MARGIN_SECONDS = 30;
 
-export function createClaimBook(options: ClaimBookOptions): ClaimBook {
+export function createClaimRegistry(options: ClaimRegistryOptions): ClaimRegistry {
   const { batcher, leases, writer, clock } = options;
   const createClaimId = options.createClaimId ?? (() => Crypto.randomUUID());
 
   async function writeRecord(
-    place: ClaimPlace,
+    claimKeys: ClaimKeys,
     record: ClaimRecord,
     maxSeconds: number,
     takenOverRevision: number,
-  ): Promise<Awaited<ReturnType<TransactionBatcher['writeItem']>>> {
-    const claimLease = await leases.getLease(options.claimSeconds);
-    const openLease = await leases.getLease(computeLeaseSeconds(maxSeconds + MARGIN_SECONDS));
-    if (claimLease === undefined || openLease === undefined) {
-      return { kind: 'unavailable', message: 'no lease' };
+  ): Promise<Awaited<ReturnType<TransactionBatcher['writeTransaction']>>> {
+    const claimLeaseId = await leases.getLeaseId(options.claimSeconds);
+    const openMarkerLeaseId = await leases.getLeaseId(
+      computeLeaseSeconds(maxSeconds + ROUND_TRIP_MARGIN_SECONDS),
+    );
+    if (claimLeaseId === undefined || openMarkerLeaseId === undefined) {
+      return { kind: 'unavailable', message: 'the platform granted no lease' };
     }
     const value = Records.encodeRecord(record);
-    return batcher.writeItem(
+    return batcher.writeTransaction(
       {
         comparisons: [
-          { key: place.claimKey, revision: takenOverRevision },
-          // A claim that is taken over may still have its open mark.
-          ...(takenOverRevision === 0 ? [{ key: place.openKey, revision: 0 }] : []),
+          { key: claimKeys.claimKey, revision: takenOverRevision },
+          // A claim that is taken over may still have its open marker.
+          ...(takenOverRevision === 0 ? [{ key: claimKeys.openMarkerKey, revision: 0 }] : []),
         ],
         writes: [
-          { key: place.claimKey, value, leaseId: claimLease },
-          { key: place.openKey, value: record.claimId, leaseId: openLease },
+          { key: claimKeys.claimKey, value, leaseId: claimLeaseId },
+          { key: claimKeys.openMarkerKey, value: record.claimId, leaseId: openMarkerLeaseId },
         ],
       },
       true,
@@ -108,29 +115,29 @@
   }
 
   /**
-   * Writes a claim until its fate is known. Guards against a lost answer: the write may have taken
-   * effect, so sending on a guess could run the order twice, and giving up at once would leave a
-   * claim that nobody runs. Writing the same claim again shows it: its own claim id in the conflict
-   * means that the first write took effect.
+   * Writes a claim and retries while the response is lost. A write without a response may have
+   * taken effect: sending the order anyway could run it twice, and giving up at once would leave a
+   * claim whose order never runs. Writing the same claim again resolves this, since a conflict with
+   * its own claim id means that the first write took effect.
    */
   async function writeClaim(
-    place: ClaimPlace,
+    claimKeys: ClaimKeys,
     record: ClaimRecord,
     maxSeconds: number,
     takenOverRevision = 0,
   ): Promise<ClaimResult> {
     const startedMs = clock.getNowMs();
     let mayBeWritten = false;
-    for (let write = 0; write < MAX_WRITES; write += 1) {
-      const result = await writeRecord(place, record, maxSeconds, takenOverRevision);
+    for (let write = 0; write < MAX_CLAIM_WRITES; write += 1) {
+      const result = await writeRecord(claimKeys, record, maxSeconds, takenOverRevision);
       if (result.kind === 'written') {
-        return createHeldClaim({ record, place, revision: result.revision }, startedMs);
+        return createHeldClaim({ record, claimKeys, revision: result.revision }, startedMs);
       }
       if (result.kind === 'conflict') {
-        const isDisplaced = takenOverRevision !== 0 && !hasKey(result, place.claimKey);
-        // The claim to be taken over was removed meanwhile.
-        if (isDisplaced) return writeClaim(place, record, maxSeconds);
-        return decideConflict(place, record, maxSeconds, result, startedMs);
+        const isRemoved = takenOverRevision !== 0 && !hasKey(result, claimKeys.claimKey);
+        // The claim to be taken over has been removed in the meantime.
+        if (isRemoved) return writeClaim(claimKeys, record, maxSeconds);
+        return decideConflict(claimKeys, record, maxSeconds, result, startedMs);
       }
       if (result.kind === 'unknown') mayBeWritten = true;
       else {
@@ -138,66 +145,66 @@
         if (!mayBeWritten) break;
       }
     }
-    if (mayBeWritten) writer.removeUnsent(place, record.claimId);
+    if (mayBeWritten) writer.removeUnsentClaim(claimKeys, record.claimId);
     return { kind: 'away' };
   }
 
   async function decideConflict(
-    place: ClaimPlace,
+    claimKeys: ClaimKeys,
     record: ClaimRecord,
     maxSeconds: number,
     conflict: KeyValueConflict,
     startedMs: number,
   ): Promise<ClaimResult> {
-    const entry = conflict.current.find(({ key }) => key === place.claimKey);
-    const isOpen = hasKey(conflict, place.openKey);
-    // The open mark alone: its claim was just released or is just ending.
-    if (entry === undefined) return { kind: isOpen ? 'inProgress' : 'away' };
-    const known = Records.decodeRecord(entry.value);
-    if (known?.claimId === record.claimId) {
-      return createHeldClaim({ record, place, revision: entry.revision }, startedMs);
+    const entry = conflict.current.find(({ key }) => key === claimKeys.claimKey);
+    const hasOpenMarker = hasKey(conflict, claimKeys.openMarkerKey);
+    // An open marker without a claim: its claim was just released or is just expiring.
+    if (entry === undefined) return { kind: hasOpenMarker ? 'inProgress' : 'away' };
+    const existing = Records.decodeRecord(entry.value);
+    if (existing?.claimId === record.claimId) {
+      return createHeldClaim({ record, claimKeys, revision: entry.revision }, startedMs);
     }
-    if (known === undefined) return { kind: 'unknown' };
-    if (known.requestHash !== record.requestHash) return { kind: 'keyReused' };
-    if (known.state === 'sent' && writer.isUnsent(known.claimId)) {
-      return writeClaim(place, record, maxSeconds, entry.revision);
+    if (existing === undefined) return { kind: 'unknown' };
+    if (existing.requestHash !== record.requestHash) return { kind: 'keyReused' };
+    if (existing.state === 'sent' && writer.isUnsentClaim(existing.claimId)) {
+      return writeClaim(claimKeys, record, maxSeconds, entry.revision);
     }
-    return decideRepeat(known, isOpen);
+    return decideRepeatedOrder(existing, hasOpenMarker);
   }
 
   function createHeldClaim(written: WrittenClaim, startedMs: number): HeldClaim {
-    const { record, place, revision } = written;
+    const { record, claimKeys, revision } = written;
     const maxAgeMs = (options.claimSeconds * MS_PER_SECOND) / 2;
     return {
       kind: 'held',
-      // A router that was paused after the claim may wake when the claim's lease is over and
-      // another router runs the order. Half the lease is far more than any claim takes.
-      isFresh: () => clock.getNowMs() - startedMs < maxAgeMs,
+      // A router that is paused after claiming may resume when the claim's lease has expired and
+      // another router runs the order. Half of the lease is far longer than any claim takes.
+      isStillHeld: () => clock.getNowMs() - startedMs < maxAgeMs,
       recordDone(done) {
         const answer = Records.encodeAnswer(done);
-        const ended: ClaimRecord =
+        const endedRecord: ClaimRecord =
           answer === undefined
             ? { ...record, state: 'done' }
             : { ...record, state: 'done', answer };
-        writer.writeResult(place, ended, revision);
+        writer.writeResult(claimKeys, endedRecord, revision);
       },
-      recordUnknown: () => writer.writeResult(place, { ...record, state: 'unknown' }, revision),
-      release: () => writer.releaseClaim(place, record.claimId, revision),
+      recordUnknown: () => writer.writeResult(claimKeys, { ...record, state: 'unknown' }, revision),
+      release: () => writer.releaseClaim(claimKeys, record.claimId, revision),
     };
   }
 
   return {
     async reserveOrder(identity, maxSeconds) {
       const hash = Records.hashClaimKey(identity);
-      const place: ClaimPlace = {
+      const claimKeys: ClaimKeys = {
         claimKey: `${options.prefix}${hash}`,
-        openKey: `${options.prefix}open/${hash}`,
+        openMarkerKey: `${options.prefix}open/${hash}`,
       };
-      // A result that waits for the platform answers repeats here already.
-      const pending = writer.findPending(place);
+      // A result that is not written yet already answers repeated orders at this router.
+      const pending = writer.findPendingResult(claimKeys);
       if (pending !== undefined) {
         return pending.requestHash === identity.requestHash
-          ? decideRepeat(pending, false)
+          ? decideRepeatedOrder(pending, false)
           : { kind: 'keyReused' };
       }
       const record: ClaimRecord = {
@@ -207,27 +214,27 @@
         router: options.router,
         state: 'sent',
       };
-      return writeClaim(place, record, maxSeconds);
+      return writeClaim(claimKeys, record, maxSeconds);
     },
   };
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** What a repeat of an order that was claimed before is told. */
-function decideRepeat(known: ClaimRecord, isOpen: boolean): ClaimResult {
-  if (known.state === 'done' && known.answer !== undefined) {
-    return { kind: 'repeated', done: Records.decodeAnswer(known.answer) };
+/** The result for a repeated order, from the existing claim. */
+function decideRepeatedOrder(existing: ClaimRecord, hasOpenMarker: boolean): ClaimResult {
+  if (existing.state === 'done' && existing.answer !== undefined) {
+    return { kind: 'repeated', done: Records.decodeAnswer(existing.answer) };
   }
-  if (known.state === 'sent' && isOpen) return { kind: 'inProgress' };
+  if (existing.state === 'sent' && hasOpenMarker) return { kind: 'inProgress' };
   return { kind: 'unknown' };
 }
 
-function hasKey(conflict: KeyValueConflict, wanted: string): boolean {
-  return conflict.current.some(({ key }) => key === wanted);
+function hasKey(conflict: KeyValueConflict, expectedKey: string): boolean {
+  return conflict.current.some(({ key }) => key === expectedKey);
 }
 
-/** Few lengths of leases, so that few leases serve all services. */
+/** Rounds up to a power of two, so that all services share a small number of leases. */
 function computeLeaseSeconds(seconds: number): number {
   return 2 ** Math.ceil(Math.log2(seconds));
 }
--- a/packages/sequoiarill-plugin-orders/src/orders.ts
+++ b/packages/sequoiarill-plugin-orders/src/orderRunner.ts
@@ -1,4 +1,4 @@
-/** The life of one order, straight down: service, claim, sending, outcome. */
+/** Runs one order: looks up its service, claims the order if needed, and sends it. */
 import type {
   Clock,
   ConfigurationReader,
@@ -11,20 +11,20 @@
 
 import type { RunAttempts } from './attempts';
 import * as Records from './claimRecords';
-import type { ClaimBook, ClaimRefused, HeldClaim } from './claims';
+import type { ClaimRefused, ClaimRegistry, HeldClaim } from './claims';
 
-export interface OrdersOptions {
+export interface OrderRunnerOptions {
   readonly clock: Clock;
   readonly journal: Journal;
   readonly configuration: ConfigurationReader;
-  readonly claims: ClaimBook;
+  readonly claims: ClaimRegistry;
   readonly runAttempts: RunAttempts;
 }
 
 export type RunOrder = (order: OrderRequest) => Promise<OrderOutcome>;
 
-/** Long enough for a short outage to end; callers of a long one stay few. */
-const AWAY_RETRY_SECONDS = 5;
+/** Long enough for a short outage to end, and keeps the calls few during a long one. */
+const PLATFORM_AWAY_RETRY_SECONDS = 5;
 const IN_PROGRESS_RETRY_SECONDS = 2;
 const MS_PER_SECOND = 1_000;
 
@@ -36,13 +36,13 @@
   return { kind: 'notRun', reason, message, retryAfterSeconds };
 }
 
-export function createOrders(options: OrdersOptions): RunOrder {
+export function createOrderRunner(options: OrderRunnerOptions): RunOrder {
   const { clock, claims, configuration, journal, runAttempts } = options;
 
   /**
-   * Runs the attempts up to the service's time limit. A caller that leaves ends an order that may
-   * be repeated; any other goes on, because what left cannot be called back, and its answer is
-   * wanted for the caller's next try.
+   * Runs the attempts within the service's time limit. If the caller disconnects, an order that may
+   * be sent again is cancelled. Any other order continues, because a request that was sent cannot
+   * be withdrawn, and its answer is needed when the caller repeats the order.
    */
   async function runWithDeadline(
     order: OrderRequest,
@@ -50,25 +50,27 @@
     canResend: boolean,
   ): Promise<OrderOutcome> {
     const deadline = new AbortController();
-    const ended = new AbortController();
-    const onLeft = (): void => deadline.abort();
-    if (canResend) order.signal.addEventListener('abort', onLeft, { once: true });
-    const waited = clock.waitMs(service.timeoutMs, ended.signal).then(() => deadline.abort());
+    const timerCancellation = new AbortController();
+    const handleCallerDisconnected = (): void => deadline.abort();
+    if (canResend) order.signal.addEventListener('abort', handleCallerDisconnected, { once: true });
+    const timer = clock
+      .waitMs(service.timeoutMs, timerCancellation.signal)
+      .then(() => deadline.abort());
     const outcome = await runAttempts(order, service, canResend, deadline.signal);
-    order.signal.removeEventListener('abort', onLeft);
-    ended.abort();
-    await waited;
+    order.signal.removeEventListener('abort', handleCallerDisconnected);
+    timerCancellation.abort();
+    await timer;
     return outcome;
   }
 
-  async function runHeld(
+  async function runWithClaim(
     order: OrderRequest,
     service: PlainService,
     claim: HeldClaim,
   ): Promise<OrderOutcome> {
-    if (order.signal.aborted || !claim.isFresh()) {
+    if (order.signal.aborted || !claim.isStillHeld()) {
       await claim.release();
-      return createNotRun('overloaded', 'it waited too long for its claim.', 1);
+      return createNotRun('overloaded', 'the order waited too long for its claim.', 1);
     }
     const outcome = await runWithDeadline(order, service, false);
     if (outcome.kind === 'done') claim.recordDone(outcome);
@@ -92,7 +94,7 @@
     };
     const result = await claims.reserveOrder(identity, service.timeoutMs / MS_PER_SECOND);
     journal.recordDecision(requestId, 'claimed', `claim by Idempotency-Key: ${result.kind}`);
-    if (result.kind === 'held') return runHeld(order, service, result);
+    if (result.kind === 'held') return runWithClaim(order, service, result);
     if (result.kind === 'repeated') return result.done;
     return createRefusedOutcome(result);
   }
@@ -111,8 +113,8 @@
   };
 }
 
-function createRefusedOutcome(refused: ClaimRefused): OrderOutcome {
-  switch (refused.kind) {
+function createRefusedOutcome(refusal: ClaimRefused): OrderOutcome {
+  switch (refusal.kind) {
     case 'keyReused': {
       const message = 'this Idempotency-Key was used for another request; use a new one.';
       return createNotRun('keyReused', message, 0);
@@ -122,13 +124,13 @@
       return createNotRun('inProgress', message, IN_PROGRESS_RETRY_SECONDS);
     }
     case 'away': {
-      const message = 'orders cannot be claimed right now; nothing was sent.';
-      return createNotRun('platformAway', message, AWAY_RETRY_SECONDS);
+      const message = 'orders cannot be claimed at the moment; nothing was sent.';
+      return createNotRun('platformAway', message, PLATFORM_AWAY_RETRY_SECONDS);
     }
     default:
       return {
         kind: 'unknown',
-        message: 'it was sent before and its answer is not known; it is not sent again.',
+        message: 'the order was sent before and its answer is not known; it is not sent again.',
       };
   }
 }
--- a/packages/sequoiarill-plugin-orders/src/sending.ts
+++ b/packages/sequoiarill-plugin-orders/src/orderSender.ts
@@ -1,40 +1,40 @@
-/** Sends one order to one target, once, and tells whether a byte of it may have left. */
+/** Sends an order to a target once, and reports whether any byte may have reached the target. */
 import type { OrderDone, OrderRequest } from '@sequoiarill/types';
 import { errors as Errors, Pool } from 'undici';
 import type { Dispatcher } from 'undici';
 
-/** The service answered. */
-export interface SendingAnswered {
+/** The target returned a complete answer. */
+export interface AttemptAnswered {
   readonly kind: 'answered';
   readonly answer: OrderDone;
 }
 
-/** No byte left for the target. */
-export interface SendingNotSent {
+/** No byte was sent to the target. */
+export interface AttemptNotSent {
   readonly kind: 'notSent';
-  /** Whether the target took no connection, as against an order that no target could be sent. */
+  /** Whether the connection failed; `false` if the order is invalid or was cancelled. */
   readonly isTargetFault: boolean;
   readonly message: string;
 }
 
-/** Bytes may have reached the target and no whole answer came. */
-export interface SendingUnanswered {
+/** Bytes may have reached the target, but no complete answer arrived. */
+export interface AttemptUnanswered {
   readonly kind: 'unanswered';
   readonly message: string;
 }
 
-export type SendingResult = SendingAnswered | SendingNotSent | SendingUnanswered;
+export type AttemptResult = AttemptAnswered | AttemptNotSent | AttemptUnanswered;
 
-/** Sends to the target at `address`; ends the exchange when the signal is aborted. */
+/** Sends the order to the target at `address`; cancels the request when the signal is aborted. */
 export type SendOrder = (
   address: string,
   order: OrderRequest,
   signal: AbortSignal,
-) => Promise<SendingResult>;
+) => Promise<AttemptResult>;
 
 export interface OrderSender {
   readonly sendOrder: SendOrder;
-  /** Closes pools of targets that are no longer in the configuration. */
+  /** Closes the connection pools of all targets whose address is not in `addresses`. */
   readonly removePools: (addresses: ReadonlySet<string>) => void;
   readonly close: () => Promise<void>;
 }
@@ -46,27 +46,27 @@
 }
 
 /**
- * A target that closes an idle connection while an order is being written to it resets the order,
- * which then counts as possibly run. Closing first, after a shorter time than services commonly
- * use (5 s and more), keeps that rare. A `Keep-Alive` header of the service is honoured, less the
- * margin that undici takes off.
+ * If a target closes an idle connection while an order is being written to it, the order is reset
+ * and counts as possibly run. Closing idle connections earlier than services commonly do (5 s and
+ * more) makes this rare. A `Keep-Alive` header of the service is followed, less the safety margin
+ * that undici subtracts.
  */
-const IDLE_MS = 1_000;
-const FIRST_FINAL_STATUS = 200;
+const IDLE_CONNECTION_TIMEOUT_MS = 1_000;
+const MIN_FINAL_STATUS = 200;
 
 export function createOrderSender(options: OrderSenderOptions): OrderSender {
   const pools = new Map<string, Pool>();
 
   function getPool(address: string): Pool {
-    const known = pools.get(address);
-    if (known !== undefined) return known;
+    const existing = pools.get(address);
+    if (existing !== undefined) return existing;
     const pool = new Pool(`http://${address}`, {
       connections: options.maxInFlightPerTarget,
-      // One request at a time on a connection: undici writes pipelined ones again by itself.
+      // One request at a time per connection: undici resends pipelined requests by itself.
       pipelining: 1,
       connect: { timeout: options.connectTimeoutMs },
-      keepAliveTimeout: IDLE_MS,
-      // The deadline of the order ends the exchange.
+      keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
+      // The deadline of the order limits the request instead.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -81,7 +81,7 @@
       for (const [address, pool] of pools) {
         if (!addresses.has(address)) {
           pools.delete(address);
-          // Lets the orders in progress end.
+          // `close` lets in-flight orders finish.
           pool.close().catch(() => undefined);
         }
       }
@@ -94,43 +94,44 @@
 }
 
 /**
- * Why `notSent` holds: undici calls `onRequestStart` on a connected socket, synchronously right
- * before it writes the first byte of the request, and on no other path. An error without that call
- * (connection refused, connect timeout, pool closed) therefore comes before any byte. An error
- * after it counts as sent, also if the bytes never left the socket's buffer, which nobody can tell.
+ * `notSent` is reliable because undici calls `onRequestStart` only on a connected socket,
+ * synchronously right before it writes the first byte of the request. An error without that call
+ * (connection refused, connect timeout, pool closed) therefore occurs before any byte is sent.
+ * After the call, an error counts as sent, even if the bytes never left the socket's buffer,
+ * because that cannot be determined.
  *
- * A second `onRequestStart` would mean that undici writes the request again by itself after a
- * connection broke; the order is aborted before those bytes, since it may already run.
+ * A second `onRequestStart` would mean that undici resends the request by itself after a broken
+ * connection. The order is aborted before those bytes are written, since it may already be running.
  */
 async function sendOnce(
   pool: Dispatcher,
   order: OrderRequest,
   signal: AbortSignal,
   maxAnswerBytes: number,
-): Promise<SendingResult> {
+): Promise<AttemptResult> {
   return new Promise((resolve) => {
     let hasStarted = false;
     let abort: ((reason: Error) => void) | undefined;
     let status = 0;
     let headers: OrderDone['headers'] = {};
-    let bytes = 0;
+    let receivedBytes = 0;
     const chunks: Buffer[] = [];
 
-    function handleResult(result: SendingResult): void {
+    function resolveResult(result: AttemptResult): void {
       signal.removeEventListener('abort', handleAborted);
       resolve(result);
     }
     function fail(message: string, isTargetFault: boolean): void {
-      if (hasStarted) handleResult({ kind: 'unanswered', message });
-      else handleResult({ kind: 'notSent', message, isTargetFault });
+      if (hasStarted) resolveResult({ kind: 'unanswered', message });
+      else resolveResult({ kind: 'notSent', message, isTargetFault });
     }
     function handleAborted(): void {
-      // Before the request starts there is nothing to abort; `onRequestStart` then refuses it.
-      fail('no answer in time', false);
-      abort?.(new Error('no answer in time'));
+      // A request that has not started has no controller yet; `onRequestStart` then aborts it.
+      fail('no answer before the deadline or cancellation', false);
+      abort?.(new Error('no answer before the deadline or cancellation'));
     }
     if (signal.aborted) {
-      fail('it was given up before it was sent', false);
+      fail('the order was cancelled before it was sent', false);
       return;
     }
     signal.addEventListener('abort', handleAborted, { once: true });
@@ -144,28 +145,30 @@
       {
         onRequestStart(controller) {
           if (hasStarted || signal.aborted) {
-            controller.abort(new Error('not written a second time or after its deadline'));
+            controller.abort(
+              new Error('the request is not sent a second time or after its deadline'),
+            );
             return;
           }
           hasStarted = true;
           abort = (reason) => controller.abort(reason);
         },
-        onResponseStart(_controller, statusCode, answerHeaders) {
-          if (statusCode < FIRST_FINAL_STATUS) return;
+        onResponseStart(_controller, statusCode, responseHeaders) {
+          if (statusCode < MIN_FINAL_STATUS) return;
           status = statusCode;
-          headers = mergeHeaders(answerHeaders);
+          headers = mergeHeaders(responseHeaders);
         },
         onResponseData(controller, chunk) {
-          bytes += chunk.length;
-          if (bytes <= maxAnswerBytes) chunks.push(chunk);
-          else controller.abort(new Error(`its answer is over ${maxAnswerBytes} bytes`));
+          receivedBytes += chunk.length;
+          if (receivedBytes <= maxAnswerBytes) chunks.push(chunk);
+          else controller.abort(new Error(`the answer exceeds ${maxAnswerBytes} bytes`));
         },
         onResponseEnd() {
           const answer: OrderDone = { kind: 'done', status, headers, body: Buffer.concat(chunks) };
-          handleResult({ kind: 'answered', answer });
+          resolveResult({ kind: 'answered', answer });
         },
         onResponseError(_controller, error) {
-          // One caller's malformed order must not make targets look dead to the others.
+          // A malformed order of one caller must not get the target skipped for other callers.
           const isOrderFault = error instanceof Errors.InvalidArgumentError;
           fail(error.message, !isOrderFault && !signal.aborted);
         },
--- a/packages/sequoiarill-plugin-orders/src/plugin.ts
+++ b/packages/sequoiarill-plugin-orders/src/plugin.ts
@@ -1,4 +1,4 @@
-/** The plug-in `orders`: wires targets, sending and claims together. */
+/** The plug-in `orders`: connects the choice of targets, the attempts and the claims. */
 import type {
   OrderOutcome,
   OrderRequest,
@@ -14,10 +14,10 @@
 import * as ClaimWriters from './claimWriter';
 import * as Events from './events';
 import * as Metrics from './metrics';
-import * as Orders from './orders';
+import * as OrderRunners from './orderRunner';
+import * as OrderSenders from './orderSender';
+import type { AttemptResult } from './orderSender';
 import * as RetryBudgets from './retryBudget';
-import * as Sending from './sending';
-import type { SendingResult } from './sending';
 import { settingsSchema } from './settings';
 import type { OrdersSettings } from './settings';
 import * as TargetChoice from './targetChoice';
@@ -25,34 +25,34 @@
 
 const MS_PER_SECOND = 1_000;
 
-type ClaimParts = Readonly<{
-  claims: Claims.ClaimBook;
+type ClaimComponents = Readonly<{
+  claims: Claims.ClaimRegistry;
   writer: ClaimWriters.ClaimWriter;
   batcher: TransactionBatches.TransactionBatcher;
 }>;
 
-function createClaims(context: PluginContext, settings: OrdersSettings): ClaimParts {
+function createClaims(context: PluginContext, settings: OrdersSettings): ClaimComponents {
   const { clock, logEvent, metrics } = context;
   const store = context.getCapability('keyValue');
   const { claimSeconds } = settings;
   const batcher = TransactionBatches.createTransactionBatcher({
     store,
     clock,
-    windowMs: settings.claimWindowMs,
-    lazyMs: settings.resultDelayMs,
-    spacingMs: MS_PER_SECOND / settings.maxClaimCallsPerSecond,
+    batchWindowMs: settings.claimWindowMs,
+    nonUrgentDelayMs: settings.resultDelayMs,
+    minCallIntervalMs: MS_PER_SECOND / settings.maxClaimCallsPerSecond,
     recordCall: () => metrics.addCount(Metrics.CLAIM_CALLS),
   });
-  const leases = ClaimLeases.createLeaseBuckets(store, clock);
+  const leases = ClaimLeases.createLeaseCache(store, clock);
   const writer = ClaimWriters.createClaimWriter({
     batcher,
     leases,
     clock,
     claimSeconds,
-    recordDropped: ({ requestId }, reason) =>
+    recordDroppedResult: ({ requestId }, reason) =>
       logEvent(Events.RESULT_DROPPED, { requestId, reason }),
   });
-  const claims = Claims.createClaimBook({
+  const claims = Claims.createClaimRegistry({
     batcher,
     leases,
     writer,
@@ -68,7 +68,7 @@
   const { clock, journal, logEvent, metrics } = context;
   const configuration = context.getCapability('configuration');
   const { claims, writer, batcher } = createClaims(context, settings);
-  const sender = Sending.createOrderSender(settings);
+  const sender = OrderSenders.createOrderSender(settings);
   const budget = RetryBudgets.createRetryBudget(settings.retryRatio, () =>
     metrics.addCount(Metrics.RETRIES),
   );
@@ -76,10 +76,10 @@
     maxInFlight: settings.maxInFlightPerTarget,
     passOverMs: settings.passOverMs,
   });
-  const open = new Set<Promise<unknown>>();
+  const openOrders = new Set<Promise<unknown>>();
   let isDraining = false;
 
-  function recordSending(order: OrderRequest, target: ServiceTarget, result: SendingResult): void {
+  function recordAttempt(order: OrderRequest, target: ServiceTarget, result: AttemptResult): void {
     const { requestId } = order;
     const reason = `${result.kind} at ${target.name}`;
     journal.recordDecision(requestId, 'dispatched', reason, { target: target.name });
@@ -91,19 +91,19 @@
     });
   }
 
-  const runOne = Orders.createOrders({
+  const runAcceptedOrder = OrderRunners.createOrderRunner({
     clock,
     journal,
     configuration,
     claims,
-    runAttempts: Attempts.createAttempts({
+    runAttempts: Attempts.createAttemptRunner({
       clock,
       chooser,
       budget,
       sendOrder: sender.sendOrder,
       listTargets: (service) =>
         TargetChoice.listServiceTargets(configuration.getConfiguration(), service),
-      recordSending,
+      recordAttempt,
     }),
   });
 
@@ -120,11 +120,11 @@
   }
 
   async function runOrder(order: OrderRequest): Promise<OrderOutcome> {
-    if (isDraining) return Orders.createNotRun('draining', 'this router is stopping.', 1);
+    if (isDraining) return OrderRunners.createNotRun('draining', 'this router is stopping.', 1);
     const startedMs = clock.getNowMs();
-    const running = runOne(order);
-    open.add(running);
-    const outcome = await running.finally(() => open.delete(running));
+    const outcomePromise = runAcceptedOrder(order);
+    openOrders.add(outcomePromise);
+    const outcome = await outcomePromise.finally(() => openOrders.delete(outcomePromise));
     recordOutcome(order, outcome, startedMs);
     return outcome;
   }
@@ -136,7 +136,7 @@
     capabilities: { orders: { runOrder } },
     async drain() {
       isDraining = true;
-      while (open.size > 0) await Promise.allSettled([...open]);
+      while (openOrders.size > 0) await Promise.allSettled([...openOrders]);
       await writer.drain();
     },
     async stop() {
@@ -145,12 +145,12 @@
       await sender.close();
     },
     dumpState: () => ({
-      openOrders: open.size,
+      openOrders: openOrders.size,
       isDraining,
-      retriesRemaining: budget.getRemaining(),
-      targetsPassedOver: chooser.listPassedOver(clock.getNowMs()),
+      retriesRemaining: budget.getRemainingRetries(),
+      targetsPassedOver: chooser.listBackedOffTargets(clock.getNowMs()),
       claimsQueued: batcher.getQueueLength(),
-      resultsPending: writer.getPendingCount(),
+      resultsPending: writer.getPendingResultCount(),
     }),
   };
 }
--- a/packages/sequoiarill-plugin-orders/src/retryBudget.ts
+++ b/packages/sequoiarill-plugin-orders/src/retryBudget.ts
@@ -1,28 +1,32 @@
 /**
- * Second sendings allowed while first ones flow. Pure.
+ * Limits retries to a share of the first attempts. Uses no clock and no I/O.
  *
- * Load pattern: a slow or failing service under steady traffic. Without a budget each order is sent
- * up to the attempt limit, so a service that fails under load gets a multiple of that load and
- * cannot come back. With it, retries add at most `ratio` to the load, whatever the failure rate.
+ * Without a budget, every order to a slow or failing service under steady traffic would be sent up
+ * to the attempt limit: a service that fails under load would receive a multiple of that load and
+ * could not recover. With the budget, retries add at most `ratio` to the load over time, whatever
+ * the failure rate.
  */
 
-/** Lets a quiet router retry the few orders it has; one burst of this size is no overload. */
-const RESERVE = 10;
+/**
+ * Lets a router with little traffic retry its few orders. A single burst of this size does not
+ * overload a service.
+ */
+const RESERVED_RETRIES = 10;
 
 export interface RetryBudget {
-  /** Counts a first sending. */
-  readonly addFirst: () => void;
-  /** Whether one more sending is allowed; if so, it is counted. */
+  /** Counts a first attempt, which adds to the budget. */
+  readonly addFirstAttempt: () => void;
+  /** Takes one retry from the budget; returns whether it was available. */
   readonly takeRetry: () => boolean;
-  readonly getRemaining: () => number;
+  readonly getRemainingRetries: () => number;
 }
 
-/** `recordRetry` is told of each retry that is allowed. */
+/** `recordRetry` is called for each retry that is allowed. */
 export function createRetryBudget(ratio: number, recordRetry: () => void): RetryBudget {
-  let remaining = RESERVE;
+  let remaining = RESERVED_RETRIES;
   return {
-    addFirst() {
-      remaining = Math.min(RESERVE, remaining + ratio);
+    addFirstAttempt() {
+      remaining = Math.min(RESERVED_RETRIES, remaining + ratio);
     },
     takeRetry() {
       if (remaining < 1) return false;
@@ -30,6 +34,6 @@
       recordRetry();
       return true;
     },
-    getRemaining: () => remaining,
+    getRemainingRetries: () => remaining,
   };
 }
--- a/packages/sequoiarill-plugin-orders/src/transactionBatches.ts
+++ b/packages/sequoiarill-plugin-orders/src/transactionBatches.ts
@@ -1,9 +1,9 @@
 /**
- * Gathers transactions of one router into few calls of the platform's key-value service.
+ * Merges the transactions of one router into few calls to the platform's key-value service.
  *
- * Load pattern: many orders at once, or many routers. Sent one by one, claims would use up the few
- * hundred writes a second that the platform has for everybody. Here a router's calls have a bound
- * that does not depend on its orders; more orders make batches larger, up to their bound.
+ * With many orders at once or many routers, one call per claim would use up the few hundred writes
+ * per second that all users of the platform share. Here, the rate of a router's calls has a limit
+ * that does not depend on its number of orders; more orders make the batches larger, up to a limit.
  */
 import type {
   Clock,
@@ -17,103 +17,115 @@
 
 export interface TransactionBatcher {
   /**
-   * Writes one transaction with others. An `unknown` may have taken effect, as for a single call.
-   * What is not `isUrgent` waits longer for urgent ones to go with.
+   * Writes a transaction in a batch with others. One that ends as `unknown` may have taken effect,
+   * as for a single call. A transaction that is not urgent waits longer, to share a batch with
+   * urgent ones.
    */
-  readonly writeItem: (item: KeyTransaction, isUrgent: boolean) => Promise<TransactionResult>;
+  readonly writeTransaction: (
+    transaction: KeyTransaction,
+    isUrgent: boolean,
+  ) => Promise<TransactionResult>;
   readonly getQueueLength: () => number;
 }
 
 export interface TransactionBatcherOptions {
   readonly store: Pick<KeyValueStore, 'writeTransaction'>;
   readonly clock: Clock;
-  /** How long urgent items are gathered. */
-  readonly windowMs: number;
-  /** How long others wait for urgent ones. */
-  readonly lazyMs: number;
-  /** Least time between the starts of two batches: the router's share of the platform's budget. */
-  readonly spacingMs: number;
+  /** How long further transactions are collected before a batch starts. */
+  readonly batchWindowMs: number;
+  /** How long transactions that are not urgent wait for an urgent one. */
+  readonly nonUrgentDelayMs: number;
+  /**
+   * Minimum time between the starts of two batches: the router's share of the platform's budget.
+   */
+  readonly minCallIntervalMs: number;
   readonly recordCall: () => void;
 }
 
-interface QueuedItem {
-  readonly item: KeyTransaction;
+interface QueuedTransaction {
+  readonly transaction: KeyTransaction;
   readonly isUrgent: boolean;
-  readonly settle: (result: TransactionResult) => void;
+  readonly resolve: (result: TransactionResult) => void;
 }
 
-/** Two keys each stay within the 128 operations a transaction of the service may have. */
-const MAX_ITEMS = 32;
-/** Below the megabyte that one request may have. */
-const MAX_BYTES = 524_288;
+/** With two keys each, within the limit of 128 operations per transaction of the service. */
+const MAX_BATCH_TRANSACTIONS = 32;
+/** Below the limit of one megabyte per request. */
+const MAX_BATCH_BYTES = 524_288;
 
 export function createTransactionBatcher(options: TransactionBatcherOptions): TransactionBatcher {
   const { store, clock } = options;
-  const queue: QueuedItem[] = [];
+  const queue: QueuedTransaction[] = [];
   let isRunning = false;
   let lastCallMs = -Infinity;
-  let wakeLazy: (() => void) | undefined;
+  let stopNonUrgentDelay: (() => void) | undefined;
 
-  async function writeMerged(items: readonly QueuedItem[]): Promise<TransactionResult> {
+  async function writeMerged(batch: readonly QueuedTransaction[]): Promise<TransactionResult> {
     options.recordCall();
     return store.writeTransaction({
-      comparisons: items.flatMap(({ item }) => item.comparisons),
-      writes: items.flatMap(({ item }) => item.writes),
+      comparisons: batch.flatMap(({ transaction }) => transaction.comparisons),
+      writes: batch.flatMap(({ transaction }) => transaction.writes),
     });
   }
 
   /**
-   * A conflict of one item fails the whole transaction. Its answer holds every compared key as it
-   * is, which settles the items in conflict; the others had no effect and go again together. A
-   * caller that repeats old keys thus costs one call more, not one for each item beside its own.
+   * A conflict in one transaction fails the whole batch. The response holds the current entries of
+   * all compared keys, which resolves the conflicting transactions; the others had no effect and
+   * are written again together. A caller that repeats old keys thus costs one additional call, not
+   * one for each other transaction of the batch.
    */
-  async function writeBatch(batch: readonly QueuedItem[]): Promise<void> {
-    let items = batch;
-    while (items.length > 0) {
-      const result = await writeMerged(items);
+  async function writeBatch(batch: readonly QueuedTransaction[]): Promise<void> {
+    let remaining = batch;
+    while (remaining.length > 0) {
+      const result = await writeMerged(remaining);
       if (result.kind !== 'conflict') {
-        items.forEach(({ settle }) => settle(result));
+        remaining.forEach(({ resolve }) => resolve(result));
         return;
       }
-      const inConflict = items.filter(({ item }) => isConflicting(item, result));
-      // Every call settles something, so that this ends even if the store names no key.
-      const settled = new Set(inConflict.length > 0 ? inConflict : items);
-      settled.forEach(({ item, settle }) =>
-        settle({ ...result, current: selectCurrent(item, result) }),
+      const conflicting = remaining.filter(({ transaction }) => isConflicting(transaction, result));
+      // Every call resolves at least one transaction, so the loop ends even if no conflict is
+      // found.
+      const resolvedTransactions = new Set(conflicting.length > 0 ? conflicting : remaining);
+      resolvedTransactions.forEach(({ transaction, resolve }) =>
+        resolve({ ...result, current: selectCurrent(transaction, result) }),
       );
-      items = items.filter((queued) => !settled.has(queued));
+      remaining = remaining.filter((queued) => !resolvedTransactions.has(queued));
     }
   }
 
-  async function waitForWindow(): Promise<void> {
+  async function waitForBatchStart(): Promise<void> {
     if (!queue.some(({ isUrgent }) => isUrgent)) {
-      const woken = new AbortController();
-      wakeLazy = () => woken.abort();
-      await clock.waitMs(options.lazyMs, woken.signal);
-      wakeLazy = undefined;
+      const urgentArrival = new AbortController();
+      stopNonUrgentDelay = () => urgentArrival.abort();
+      await clock.waitMs(options.nonUrgentDelayMs, urgentArrival.signal);
+      stopNonUrgentDelay = undefined;
     }
     const nowMs = clock.getNowMs();
-    await clock.waitMs(Math.max(options.windowMs, lastCallMs + options.spacingMs - nowMs));
+    await clock.waitMs(
+      Math.max(options.batchWindowMs, lastCallMs + options.minCallIntervalMs - nowMs),
+    );
     lastCallMs = clock.getNowMs();
   }
 
-  /** One call at a time: while one is under way, the next one gathers, so load makes it larger. */
+  /**
+   * Sends one batch at a time; transactions that arrive meanwhile are collected for the next one.
+   */
   async function runBatches(): Promise<void> {
     while (queue.length > 0) {
-      await waitForWindow();
+      await waitForBatchStart();
       await writeBatch(takeBatch(queue));
     }
     isRunning = false;
   }
 
   return {
-    async writeItem(item, isUrgent) {
+    async writeTransaction(transaction, isUrgent) {
       return new Promise((resolve) => {
-        queue.push({ item, isUrgent, settle: resolve });
-        if (isUrgent) wakeLazy?.();
+        queue.push({ transaction, isUrgent, resolve });
+        if (isUrgent) stopNonUrgentDelay?.();
         if (isRunning) return;
         isRunning = true;
-        // Never rejects: the store's outcomes are values.
+        // Never rejects: the store returns failures as values.
         runBatches().catch(() => undefined);
       });
     },
@@ -122,28 +134,29 @@
 }
 
 /**
- * Urgent items first, then others as far as they fit; order among equals is kept. An item whose
- * keys are in the batch already waits for the next one: the service refuses a transaction that
- * writes one key twice, and all of the batch would fail with it.
+ * Takes urgent transactions first, then others as far as they fit, each in the order of arrival. A
+ * transaction with a key that is already in the batch waits for the next one: the service rejects a
+ * transaction that writes a key twice, and the whole batch would fail.
  */
-function takeBatch(queue: QueuedItem[]): readonly QueuedItem[] {
-  const batch: QueuedItem[] = [];
-  const keys = new Set<string>();
+function takeBatch(queue: QueuedTransaction[]): readonly QueuedTransaction[] {
+  const batch: QueuedTransaction[] = [];
+  const writtenKeys = new Set<string>();
   let bytes = 0;
   for (const queued of [...queue].sort(compareUrgency)) {
-    const { writes } = queued.item;
+    const { writes } = queued.transaction;
     bytes += writes.reduce((sum, write) => sum + (write.value?.length ?? 0), 0);
-    const isFull = batch.length === MAX_ITEMS || (batch.length > 0 && bytes > MAX_BYTES);
+    const isFull =
+      batch.length === MAX_BATCH_TRANSACTIONS || (batch.length > 0 && bytes > MAX_BATCH_BYTES);
     if (isFull) break;
-    if (!writes.some(({ key }) => keys.has(key))) batch.push(queued);
-    writes.forEach(({ key }) => keys.add(key));
+    if (!writes.some(({ key }) => writtenKeys.has(key))) batch.push(queued);
+    writes.forEach(({ key }) => writtenKeys.add(key));
   }
-  const taken = new Set(batch);
-  queue.splice(0, queue.length, ...queue.filter((queued) => !taken.has(queued)));
+  const batched = new Set(batch);
+  queue.splice(0, queue.length, ...queue.filter((queued) => !batched.has(queued)));
   return batch;
 }
 
-function compareUrgency(left: QueuedItem, right: QueuedItem): number {
+function compareUrgency(left: QueuedTransaction, right: QueuedTransaction): number {
   return Number(right.isUrgent) - Number(left.isUrgent);
 }
 
@@ -151,11 +164,16 @@
   return conflict.current.find((entry) => entry.key === key)?.revision ?? 0;
 }
 
-function isConflicting(item: KeyTransaction, conflict: KeyValueConflict): boolean {
-  return item.comparisons.some(({ key, revision }) => getRevision(conflict, key) !== revision);
+function isConflicting(transaction: KeyTransaction, conflict: KeyValueConflict): boolean {
+  return transaction.comparisons.some(
+    ({ key, revision }) => getRevision(conflict, key) !== revision,
+  );
 }
 
-function selectCurrent(item: KeyTransaction, conflict: KeyValueConflict): readonly KeyValueEntry[] {
-  const keys = new Set(item.comparisons.map(({ key }) => key));
-  return conflict.current.filter((entry) => keys.has(entry.key));
+function selectCurrent(
+  transaction: KeyTransaction,
+  conflict: KeyValueConflict,
+): readonly KeyValueEntry[] {
+  const comparedKeys = new Set(transaction.comparisons.map(({ key }) => key));
+  return conflict.current.filter((entry) => comparedKeys.has(entry.key));
 }
