--- a/packages/sequoiarill-plugin-callers/src/faults.ts
+++ b/packages/sequoiarill-plugin-callers/src/faults.ts
@@ -70,7 +70,7 @@
   status: 500,
   type: 'server_error',
   code: 'internal_error',
-  message: 'The router hit an internal error; the outcome of the request is unknown.',
+  message: 'The router met a fault of its own; the outcome of the request is not known.',
 };
 
 export const DRAINING: Fault = {
--- a/packages/sequoiarill-plugin-callers/src/liveResponse.ts
+++ b/packages/sequoiarill-plugin-callers/src/liveResponse.ts
@@ -43,7 +43,7 @@
 
 const INTERNAL_FAILURE: GenerationOutcome = {
   kind: 'lost',
-  message: 'The router hit an internal error.',
+  message: 'The router met a fault of its own.',
   usage: { promptTokens: 0, completionTokens: 0 },
   retryAfterSeconds: 1,
 };
--- a/packages/sequoiarill-plugin-callers/src/requestSchema.ts
+++ b/packages/sequoiarill-plugin-callers/src/requestSchema.ts
@@ -78,7 +78,9 @@
   issue: Zod.core.$ZodIssue | undefined,
   unsupportedNames: ReadonlySet<string>,
 ): Fault {
-  if (issue === undefined) return Faults.createBadRequest('invalid_value', 'The body is invalid.');
+  if (issue === undefined) {
+    return Faults.createBadRequest('invalid_value', 'The body is not valid.');
+  }
   if (issue.code === 'unrecognized_keys') {
     return createUnsupportedParameter(formatPath([...issue.path, issue.keys[0] ?? '']));
   }
--- a/packages/sequoiarill-plugin-generations/src/__tests__/generation.test.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/generation.test.ts
@@ -74,7 +74,7 @@
     expect(outcome).toEqual({
       kind: 'notRun',
       reason: 'overloaded',
-      message: 'every engine tried is at capacity',
+      message: 'every engine asked is full',
       retryAfterSeconds: 3,
     });
   });
--- a/packages/sequoiarill-plugin-generations/src/attempt.ts
+++ b/packages/sequoiarill-plugin-generations/src/attempt.ts
@@ -93,7 +93,7 @@
     timer.stop();
     const events = parseEvents(splitter.addBytes(bytes));
     if (events === undefined) {
-      return AttemptResults.createLoss('broken', 'the engine sent a malformed event', true);
+      return AttemptResults.createLoss('broken', 'an event is malformed', true);
     }
     if (state.hasTokens) options.onGap(getRunningMs() - waitingSinceMs);
     updateState(state, events, () => options.onFirstToken(getRunningMs() - startedMs));
@@ -103,11 +103,7 @@
     timer.start(state.hasTokens ? limits.gapMs : limits.firstTokenMs);
   }
   if (state.finishReason !== undefined) return AttemptResults.createFinished(state.finishReason);
-  return AttemptResults.createLoss(
-    'endedEarly',
-    'the stream ended before the answer was complete',
-    true,
-  );
+  return AttemptResults.createLoss('endedEarly', 'the stream ended before the answer', true);
 }
 
 function parseEvents(eventData: readonly string[] | undefined): readonly EngineEvent[] | undefined {
--- a/packages/sequoiarill-plugin-generations/src/attemptResults.ts
+++ b/packages/sequoiarill-plugin-generations/src/attemptResults.ts
@@ -66,7 +66,7 @@
     return { kind: 'busy', retryAfterSeconds: seconds > 0 ? seconds : DEFAULT_RETRY_AFTER_SECONDS };
   }
   if (statusCode >= HTTP_SERVER_ERROR) {
-    return createLoss('broken', `the engine responded with status ${statusCode}`, true);
+    return createLoss('broken', `the engine answered ${statusCode}`, true);
   }
   return { kind: 'rejected', ...parseError(text) };
 }
@@ -99,11 +99,7 @@
 export function createStallLoss(limits: AttemptLimits, hasTokens: boolean): AttemptLost {
   return hasTokens
     ? createLoss('stalled', `no token for ${Math.round(limits.gapMs)} ms`, true)
-    : createLoss(
-        'noFirstToken',
-        `no first token within ${Math.round(limits.firstTokenMs)} ms`,
-        true,
-      );
+    : createLoss('noFirstToken', `no first token in ${Math.round(limits.firstTokenMs)} ms`, true);
 }
 
 /**
--- a/packages/sequoiarill-plugin-generations/src/generation.ts
+++ b/packages/sequoiarill-plugin-generations/src/generation.ts
@@ -75,7 +75,7 @@
     const query: TargetQuery = { request, model, excluded: progress.getExcluded(), purpose };
     const mayTry = progress.getGeneration() === 0 || dependencies.takeRetry(query);
     if (request.signal.aborted) return progress.createCancelled();
-    if (!mayTry) return progress.createFailure('overloaded', 'the retry budget is exhausted');
+    if (!mayTry) return progress.createFailure('overloaded', 'too many engines failed at once');
     const decision = dependencies.chooseTarget(query);
     if (decision.kind === 'none') {
       progress.setRetryAfter(decision.retryAfterSeconds);
@@ -188,7 +188,7 @@
         ? progress.createFailure('noTarget', result.message)
         : result;
     default:
-      throw new Error('unknown kind of attempt result');
+      throw new Error('an attempt ended in no known way');
   }
 }
 
@@ -201,7 +201,7 @@
   const refusals = progress.addRefusal(attempt.target.name, result.retryAfterSeconds);
   dependencies.onBusy(attempt, result);
   if (refusals <= MAX_REFUSALS) return undefined;
-  return progress.createFailure('overloaded', 'every engine tried is at capacity');
+  return progress.createFailure('overloaded', 'every engine asked is full');
 }
 
 function handleLoss(
@@ -218,10 +218,10 @@
     tokensCertain: progress.answer.getUsage().completionTokens,
   });
   if (losses > MAX_LOSSES) {
-    return progress.createFailure('noTarget', 'too many engines were lost during the request');
+    return progress.createFailure('noTarget', 'one engine after another was lost');
   }
   if (progress.answer.hasTokens() && progress.answer.getContinuationIds() === undefined) {
-    const message = 'the engine reported no token ids, so no other engine can continue';
+    const message = 'the engine told no token ids, so that no other can go on';
     return progress.createFailure('noTarget', message);
   }
   return undefined;
--- a/packages/sequoiarill-plugin-membership/src/peerServer.ts
+++ b/packages/sequoiarill-plugin-membership/src/peerServer.ts
@@ -81,7 +81,7 @@
   async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request);
     if (body === undefined) {
-      refuseRequest(request, response, 'the body is too large or incomplete');
+      refuseRequest(request, response, 'the body is too long or broken off');
       return;
     }
     const verification = verifyCall(key, request, body, served?.advertise);
@@ -225,10 +225,10 @@
   };
   const signature = getHeader(request, Signatures.HEADERS.signature);
   if (!Signatures.isSameSignature(signature, Signatures.signCall(key, call))) {
-    return { kind: 'refused', reason: 'the signature is invalid; compare sharedKey' };
+    return { kind: 'refused', reason: 'the signature does not hold; compare sharedKey' };
   }
   if (call.to !== advertise) {
-    const reason = `the call is addressed to ${call.to}, but this router is ${advertise}; compare seeds and advertise`;
+    const reason = `called as ${call.to}, but is ${advertise}; compare seeds and advertise`;
     return { kind: 'refused', reason };
   }
   return { kind: 'verified', signature, call };
--- a/packages/sequoiarill-plugin-orders/src/attempts.ts
+++ b/packages/sequoiarill-plugin-orders/src/attempts.ts
@@ -65,7 +65,7 @@
     const triedTargets = new Set<string>();
     const hasFullTarget = chooser.hasFullTarget(options.listTargets(service.name));
     let mayHaveRun = false;
-    let message = `no target of "${service.name}" currently accepts orders.`;
+    let message = `no target of "${service.name}" takes orders right now.`;
     budget.addFirstAttempt();
     for (let attempt = 0; attempt < MAX_ATTEMPTS && !signal.aborted; attempt += 1) {
       const target = chooser.chooseTarget(
--- a/packages/sequoiarill-plugin-orders/src/claimWriter.ts
+++ b/packages/sequoiarill-plugin-orders/src/claimWriter.ts
@@ -92,7 +92,7 @@
     const entry = result.current.find(({ key }) => key === claimKeys.claimKey);
     const current = entry === undefined ? undefined : Records.decodeRecord(entry.value);
     const isStored = current?.claimId === record.claimId && current.state === record.state;
-    if (!isStored) options.recordDroppedResult(record, 'its claim no longer exists');
+    if (!isStored) options.recordDroppedResult(record, 'its claim is gone');
     return true;
   }
 
@@ -124,10 +124,7 @@
         oldest !== undefined
       ) {
         pendingResults.delete(oldestClaimKey);
-        options.recordDroppedResult(
-          oldest,
-          'too many results are waiting to be written to the platform',
-        );
+        options.recordDroppedResult(oldest, 'too many results wait for the platform');
       }
       startTask(async () => {
         if (pendingResults.get(claimKeys.claimKey) !== record) return true;
--- a/packages/sequoiarill-plugin-orders/src/claims.ts
+++ b/packages/sequoiarill-plugin-orders/src/claims.ts
@@ -95,7 +95,7 @@
       computeLeaseSeconds(maxSeconds + ROUND_TRIP_MARGIN_SECONDS),
     );
     if (claimLeaseId === undefined || openMarkerLeaseId === undefined) {
-      return { kind: 'unavailable', message: 'the platform granted no lease' };
+      return { kind: 'unavailable', message: 'no lease' };
     }
     const value = Records.encodeRecord(record);
     return batcher.writeTransaction(
--- a/packages/sequoiarill-plugin-orders/src/orderRunner.ts
+++ b/packages/sequoiarill-plugin-orders/src/orderRunner.ts
@@ -70,7 +70,7 @@
   ): Promise<OrderOutcome> {
     if (order.signal.aborted || !claim.isStillHeld()) {
       await claim.release();
-      return createNotRun('overloaded', 'the order waited too long for its claim.', 1);
+      return createNotRun('overloaded', 'it waited too long for its claim.', 1);
     }
     const outcome = await runWithDeadline(order, service, false);
     if (outcome.kind === 'done') claim.recordDone(outcome);
@@ -124,13 +124,13 @@
       return createNotRun('inProgress', message, IN_PROGRESS_RETRY_SECONDS);
     }
     case 'away': {
-      const message = 'orders cannot be claimed at the moment; nothing was sent.';
+      const message = 'orders cannot be claimed right now; nothing was sent.';
       return createNotRun('platformAway', message, PLATFORM_AWAY_RETRY_SECONDS);
     }
     default:
       return {
         kind: 'unknown',
-        message: 'the order was sent before and its answer is not known; it is not sent again.',
+        message: 'it was sent before and its answer is not known; it is not sent again.',
       };
   }
 }
--- a/packages/sequoiarill-plugin-orders/src/orderSender.ts
+++ b/packages/sequoiarill-plugin-orders/src/orderSender.ts
@@ -127,11 +127,11 @@
     }
     function handleAborted(): void {
       // A request that has not started has no controller yet; `onRequestStart` then aborts it.
-      fail('no answer before the deadline or cancellation', false);
-      abort?.(new Error('no answer before the deadline or cancellation'));
+      fail('no answer in time', false);
+      abort?.(new Error('no answer in time'));
     }
     if (signal.aborted) {
-      fail('the order was cancelled before it was sent', false);
+      fail('it was given up before it was sent', false);
       return;
     }
     signal.addEventListener('abort', handleAborted, { once: true });
@@ -145,9 +145,7 @@
       {
         onRequestStart(controller) {
           if (hasStarted || signal.aborted) {
-            controller.abort(
-              new Error('the request is not sent a second time or after its deadline'),
-            );
+            controller.abort(new Error('not written a second time or after its deadline'));
             return;
           }
           hasStarted = true;
@@ -161,7 +159,7 @@
         onResponseData(controller, chunk) {
           receivedBytes += chunk.length;
           if (receivedBytes <= maxAnswerBytes) chunks.push(chunk);
-          else controller.abort(new Error(`the answer exceeds ${maxAnswerBytes} bytes`));
+          else controller.abort(new Error(`its answer is over ${maxAnswerBytes} bytes`));
         },
         onResponseEnd() {
           const answer: OrderDone = { kind: 'done', status, headers, body: Buffer.concat(chunks) };
