--- a/packages/sequoiarill-plugin-forwarding/src/answers/placement.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/placement.ts
@@ -7,7 +7,7 @@
 import type { ForwardingDependencies } from '../dependencies';
 
 /** Reason, for log lines and callers, of refusing a request whose content is blocked. */
-export const BLOCKED_REASON = 'several targets terminated when they started to run it';
+export const BLOCKED_REASON = 'targets ended as they began to run it';
 
 type ListingDependencies = Pick<
   ForwardingDependencies,
@@ -45,7 +45,7 @@
 }
 
 /** Reason, for log lines and callers, of refusing a request because of rate limits. */
-export const RATE_LIMITED_REASON = 'the rate limits of its targets allow no more requests for now';
+export const RATE_LIMITED_REASON = 'its targets take no more requests for now';
 
 export interface PlacementQuery {
   readonly request: ForwardRequest;
--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamPlan.ts
@@ -97,7 +97,7 @@
   if (plan === undefined) return decideUnplaced(dependencies, request, progress);
   const isRetry = progress.deliveries > 0;
   if (isRetry && !(await takeRetry(dependencies, request, progress, budget))) {
-    return decideEnd(progress, `${progress.lastReason}; no retry left`, false);
+    return decideEnd(progress, `${progress.lastReason}; no repeat left`, false);
   }
   return { ...plan, isRetry };
 }
@@ -138,7 +138,7 @@
   { target, backup, promptsAhead, admission }: EnginePair,
 ): Omit<Plan, 'isRetry'> | Extract<StreamOutcome, { kind: 'refused' }> {
   if (admission.kind === 'refuse' && runs === 0 && lastEventId === undefined) {
-    const reason = 'its first event would be late at all engines that were queried';
+    const reason = 'its first event would be late at all engines asked';
     const { retryAfterSeconds } = admission;
     return { kind: 'refused', reason, retryAfterSeconds, lastTarget: target.id };
   }
