--- a/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/streamRelay.ts
@@ -69,8 +69,9 @@
       const { head, blocks } = step.value;
       hasProducedEvents = true;
       const newBlocks = selectNewBlocks(blocks, progress.lastEventId);
-      if (newBlocks === 'gap')
+      if (newBlocks === 'gap') {
         return { kind: 'lost', reason: 'events are missing', isTimeout: false };
+      }
       monitor.update();
       if (newBlocks.length > 0) {
         if (!progress.hasEvents) yield { kind: 'head', head };
