--- a/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/answers/fullAnswer.ts
@@ -156,7 +156,7 @@
   budget.recordRequest(clock.getNowMs());
   const decision = ServiceAdmissions.decideAdmission(dependencies, request);
   if (decision.kind === 'refuse') {
-    progress.lastReason = 'more requests are in progress than end on time';
+    progress.lastReason = 'more requests are in progress than can be answered in time';
     return buildRefusal(progress, decision.retryAfterSeconds);
   }
   for (;;) {
--- a/packages/sequoiarill-plugin-forwarding/src/front/drain.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/front/drain.ts
@@ -28,24 +28,24 @@
 const POLL_MS = 100;
 
 export function createDrain(options: DrainOptions): Drain {
-  const { frontEnd: front, clock, graceMs } = options;
+  const { frontEnd, clock, graceMs } = options;
   let startedMs: number | undefined;
 
   return {
     isDraining: () => startedMs !== undefined,
-    hasTimeFor(lastsMs) {
+    hasTimeFor(durationMs) {
       if (startedMs === undefined) return true;
-      return clock.getNowMs() - startedMs + lastsMs <= graceMs - SHUTDOWN_MARGIN_MS;
+      return clock.getNowMs() - startedMs + durationMs <= graceMs - SHUTDOWN_MARGIN_MS;
     },
     async drain() {
       const beganMs = clock.getNowMs();
       startedMs = beganMs;
       const deadlineMs = beganMs + graceMs - SHUTDOWN_MARGIN_MS;
       await clock.waitMs(Math.min(BALANCER_NOTICE_MS, graceMs - SHUTDOWN_MARGIN_MS));
-      front.closeIdle();
-      while (front.countConnections() > 0 && clock.getNowMs() < deadlineMs) {
+      frontEnd.closeIdle();
+      while (frontEnd.countConnections() > 0 && clock.getNowMs() < deadlineMs) {
         await clock.waitMs(POLL_MS);
-        front.closeIdle();
+        frontEnd.closeIdle();
       }
       return Math.round(clock.getNowMs() - beganMs);
     },
--- a/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/limits/targetLimits.ts
@@ -20,7 +20,10 @@
 import * as LimitUpdates from './limitUpdates';
 
 export interface TargetLimits {
-  /** Records the limit in the head of a valid answer of the target. */
+  /**
+   * Records the limit in the head of an answer that the target itself gave, also where it reports that it
+   * did not run the request.
+   */
   readonly recordHead: (target: ForwardingTarget, head: AnswerHead) => void;
   /** Whether a request may be sent to the target now. */
   readonly isAvailable: (target: ForwardingTarget) => boolean;
@@ -55,7 +58,7 @@
 const MIN_RETENTION_MS = 10_000;
 /** Pause after a request for permits that granted none. */
 const REFUSAL_DELAY_MS = 250;
-/** Senders asked for a permit for one request. */
+/** Routers that send to the target and are asked for a permit for one request. */
 const MAX_SENDERS_ASKED = 2;
 /** Routers to which each router forwards an update: three hops reach several hundred. */
 const UPDATE_FANOUT = 8;
--- a/packages/sequoiarill-plugin-forwarding/src/metrics.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/metrics.ts
@@ -29,7 +29,8 @@
   {
     name: COPIES,
     unit: 'count',
-    meaning: 'Copies of a KV cache that were commanded after the loss of their holder, by outcome.',
+    meaning:
+      'Copies of a KV cache that were commanded to replace an earlier copy during a run, by outcome.',
   },
   { name: REPEATED, unit: 'count', meaning: 'Retries of requests on another target.' },
 ] as const;
--- a/packages/sequoiarill-plugin-forwarding/src/retryQuota.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/retryQuota.ts
@@ -11,7 +11,7 @@
 /** Requested in addition to the missing quota, because sums of fractions are inexact. */
 const ROUNDING_MARGIN = 0.01;
 
-/** Grants nothing for a service that is not in the configuration. */
+/** Peers send the name of the service. Only services in the configuration have a retry budget to grant from. */
 export function grantRetryQuota(
   {
     clock,
--- a/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/engineProbes.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/engineProbes.test.ts
@@ -42,7 +42,7 @@
 }
 
 async function simulateProbe({
-  isDirectoryUpToDate: hasNews,
+  isDirectoryUpToDate,
   id,
   report = {},
   engineServices = 1,
@@ -67,7 +67,7 @@
     ),
     directory: {
       getConfiguration: () => ({ ...configuration, services: new Map(services) }),
-      isUpToDate: () => hasNews,
+      isUpToDate: () => isDirectoryUpToDate,
       recordReplacement: (known, found) => replacements.push(`${known.id} ${found}`),
     },
   });
--- a/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/enginePlacements.ts
@@ -147,7 +147,8 @@
   );
   const unsuspected = others.filter((other) => !dependencies.registry.isSuspect(other));
   const pool = Decisions.selectCopyHolders(unsuspected, target.zone, dependencies.zone);
-  // An engine of the prompt's sample, so that a caller that resumes the stream finds the copy.
+  // One of the engines that are queried for this prompt, so that a caller that resumes the stream
+  // finds its prompt there.
   const [first, second] = Decisions.selectCandidates(
     pool,
     getPromptKey(request),
--- a/packages/sequoiarill-plugin-forwarding/src/targets/targetConnections.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/targetConnections.ts
@@ -124,8 +124,8 @@
   return {
     takeConnection: (target) => getPool(target).idle.pop() ?? openConnection(target),
     closeIdle(target) {
-      const known = pools.get(target.id);
-      if (known !== undefined) closePool(known);
+      const pool = pools.get(target.id);
+      if (pool !== undefined) closePool(pool);
     },
     removeMissing(isCurrent) {
       for (const [id, pool] of pools) {
--- a/packages/sequoiarill-plugin-rollouts/src/reportRegistry.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/reportRegistry.ts
@@ -2,7 +2,10 @@
 import type { RolloutReport, VersionCounts } from '@sequoiarill/types';
 
 export interface ReportRegistry {
-  /** Replaces the router's previous report: its counts only grow while it runs. */
+  /**
+   * Replaces the router's previous report. Counts only grow while a router runs, so its latest report
+   * includes the earlier ones.
+   */
   readonly addReport: (report: RolloutReport) => void;
   /** Answer counts of all routers that ever reported. */
   readonly listTallies: () => readonly VersionCounts[];
--- a/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/rolloutEvaluator.ts
@@ -39,7 +39,10 @@
   readonly getReportIntervalMs: () => number;
 }
 
-/** Report intervals after which a router without a new report no longer counts towards the quorum. */
+/**
+ * Report intervals after which a router without a new report is no longer counted, neither for the quorum nor
+ * for the in-flight requests at targets that get no new ones.
+ */
 const RECENT_REPORT_INTERVALS = 3;
 /**
  * A step forward needs recent reports from more than this share of the known routers, so that of two
@@ -156,7 +159,7 @@
     return undefined;
   }
 
-  /** The caller adds the received reports to the local state first. */
+  /** Must be called after the received reports were added to the local state. */
   async function runStep(view: RolloutView, localState: LocalRolloutState): Promise<void> {
     const { service, order, split } = view;
     if (order === undefined) return;
--- a/packages/sequoiarill-plugin-rollouts/src/simulation/cases.ts
+++ b/packages/sequoiarill-plugin-rollouts/src/simulation/cases.ts
@@ -61,22 +61,22 @@
   { ...STREAMS, name: 'streams slow later', bad: { ...SLOW, fromMs: 3_000 } },
   {
     ...PLAIN,
-    name: 'sound, store away',
+    name: 'sound, store unavailable',
     faults: [{ kind: 'storeUnavailable', atMs: 3_000, forMs: 4_000 }],
   },
   {
     ...PLAIN,
-    name: 'sound, answers lost',
+    name: 'sound, responses of the store lost',
     faults: [{ kind: 'responsesLost', atMs: 0, forMs: 12_000 }],
   },
   {
     ...PLAIN,
-    name: 'sound, zone cut',
+    name: 'sound, zone isolated',
     faults: [{ kind: 'zoneIsolated', atMs: 4_000, forMs: 3_000 }],
   },
   {
     ...PLAIN,
-    name: 'sound, writer dies',
+    name: 'sound, the router that wrote last crashes',
     faults: [
       { kind: 'writerCrash', atMs: 2_000 },
       { kind: 'writerCrash', atMs: 8_500 },
@@ -90,12 +90,12 @@
   },
   {
     ...PLAIN,
-    name: 'sound, some of all fail',
+    name: 'sound, a quarter of all targets fail',
     faults: [{ kind: 'targetsFailing', atMs: 3_000, forMs: 4_000 }],
   },
   {
     ...PLAIN,
-    name: 'fails, writer dies',
+    name: 'fails, the router that wrote last crashes',
     bad: FAILS,
     faults: [{ kind: 'writerCrash', atMs: 1_500 }],
   },
