--- a/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/streams/__tests__/streamAnswer.test.ts
@@ -119,7 +119,7 @@
     expect(fake.sentCalls.map(({ target }) => target)).toEqual(['a1']);
   });
 
-  it('leaves a prompt with a live engine whose prefill is slow', async () => {
+  it('does not move a prompt away from a live engine whose prefill is slow', async () => {
     // Two prompts are prefilled before this one, of which the engine's report showed one. The
     // engine responds to probes, so the stream stays there: moving it would cost a third prefill.
     const slow: Script = [[50, Fakes.createHead(200)], ...Fakes.createEvents(1, 3, 30, 2_500)];
@@ -163,7 +163,7 @@
     // its quota on an earlier crash has another stream interrupted. Without borrowing, its caller
     // gets a broken answer, although a copy exists and most of the other routers' quotas are
     // unused.
-    const simulateBreak = async (lenders: readonly (readonly [string, number])[]) => {
+    const simulateBreak = async (peerQuotas: readonly (readonly [string, number])[]) => {
       const fake: FakeDependencies = Fakes.createFakeDependencies((target) =>
         target === 'a1'
           ? [...Simulation.createRun(1, 3).slice(0, -1), [200, BROKEN]]
@@ -172,12 +172,12 @@
       fake.setTargets([Fakes.createTarget('a1'), Fakes.createTarget('b1', { zone: 'b' })]);
       fake.reports.set('a1', Fakes.IDLE_REPORT);
       fake.reports.set('b1', { ...Fakes.IDLE_REPORT, running: 3 });
-      lenders.forEach(([router, repeats]) => fake.peerRetryQuota.set(router, repeats));
+      peerQuotas.forEach(([router, retries]) => fake.peerRetryQuota.set(router, retries));
       fake.dependencies.getBudget('engines').grantQuota(0, Number.POSITIVE_INFINITY);
       return { result: await Simulation.simulateStream(fake), lenders: fake.peerRetryQuota };
     };
-    const withoutLenders = await simulateBreak([]);
-    expect(withoutLenders.result.outcome?.kind).toEqual('broken');
+    const withoutQuota = await simulateBreak([]);
+    expect(withoutQuota.result.outcome?.kind).toEqual('broken');
     const borrowed = await simulateBreak([
       ['10.0.0.2:1', 0.1],
       ['10.0.0.3:1', 0.8],
--- a/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/enginePlacements.test.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/__tests__/enginePlacements.test.ts
@@ -100,7 +100,7 @@
     expect(new Set(targets).size).toEqual(2);
   });
 
-  it('counts a prompt that was placed and then sent only once', () => {
+  it('counts a prompt once although it is first placed and then sent', () => {
     // Placement and send are of the same prompt. If both were counted, the engine would seem to
     // have another prompt queued, and a busier one would be chosen.
     const fake = Fakes.createFakeDependencies(() => []);
--- a/packages/sequoiarill-plugin-forwarding/src/targets/engineStatuses.ts
+++ b/packages/sequoiarill-plugin-forwarding/src/targets/engineStatuses.ts
@@ -34,7 +34,10 @@
  */
 const RESUME_STATUS_TIMEOUT_MS = 250;
 
-/** Only the prompt of a resumed stream can be cached as a whole. */
+/**
+ * Only the prompt of a resumed stream can be cached as a whole, so engines are not queried for the
+ * prompts of other requests.
+ */
 function isResumeWithPrompt({ lastEventId, promptParts }: ForwardRequest): boolean {
   return lastEventId !== undefined && promptParts.length > 0;
 }
