--- a/packages/sequoiarill-plugin-directory/src/__tests__/storeFollower.test.ts
+++ b/packages/sequoiarill-plugin-directory/src/__tests__/storeFollower.test.ts
@@ -189,8 +189,8 @@
     await running;
   });
 
-  it('keeps the targets of its zone when peers report that their entries lapsed in a cut', async () => {
-    // A zone is cut off and the entries of its targets lapse. When the cut ends, its routers learn
+  it('keeps the targets of its zone when peers report that their entries lapsed in an outage', async () => {
+    // A zone is cut off and the entries of its targets lapse. When it reconnects, its routers learn
     // of that from peers before the store responds to them and before the targets have registered
     // again. If the targets were dropped at once, callers would be refused with "no target is
     // known" although targets run in their zone.
--- a/packages/sequoiarill-plugin-directory/src/readerChoice.ts
+++ b/packages/sequoiarill-plugin-directory/src/readerChoice.ts
@@ -27,9 +27,9 @@
 
 /** Zones with up to this many routers read directly. */
 const MAX_DIRECT_ROUTERS = 4;
-/** A reader serves about two requests per second from each of them. */
+/** Each of these routers sends its reader about two requests per second. */
 const ROUTERS_PER_READER = 16;
-/** One reader may be cut off or terminate at any time. */
+/** More than one, because a reader may be cut off or terminate at any time. */
 const MIN_READERS = 2;
 
 function listLocal(routers: readonly ZoneRouter[], zone: string): readonly string[] {
--- a/packages/sequoiarill-plugin-generations/src/__tests__/fakeEngines.ts
+++ b/packages/sequoiarill-plugin-generations/src/__tests__/fakeEngines.ts
@@ -1,4 +1,7 @@
-/** Simulated engines without sockets; the next token depends only on the ids so far. */
+/**
+ * Simulated engines without sockets; the next token depends only on the ids so far, as in a real
+ * engine with a fixed seed.
+ */
 import type {
   EngineTarget,
   GenerationOutcome,
--- a/packages/sequoiarill-plugin-membership/src/__tests__/decisions.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/decisions.test.ts
@@ -25,9 +25,9 @@
     const detector = Detectors.createFailureDetector();
     detector.setRoster(roster, 0);
     let nowMs = 0;
-    for (let beat = 1; beat <= 40; beat += 1) {
-      nowMs += beat % 2 === 0 ? 200 : 2_200;
-      detector.recordVersion('b', beat, nowMs);
+    for (let version = 1; version <= 40; version += 1) {
+      nowMs += version % 2 === 0 ? 200 : 2_200;
+      detector.recordVersion('b', version, nowMs);
     }
     expect(detector.decideLiveness('b', nowMs + Detectors.MIN_SUSPECT_SILENCE_MS)).toEqual('alive');
     expect(detector.decideLiveness('b', nowMs + 12_000)).toEqual('suspect');
@@ -113,12 +113,12 @@
   it('continues where a limited delta ended', () => {
     // A router resumes after minutes and lacks more facts than one response contains. If the
     // response reported all versions as complete, the remaining facts would never be sent.
-    const table = HealthRegistries.createTargetHealthRegistry('a', Fleets.hashText);
-    table.setRoster([{ name: 'a', incarnation: 1 }]);
-    ['t1', 't2', 't3'].forEach((target) => table.recordReport({ target, state: 'dead' }, 0));
-    const first = table.listDelta([0], 0, 2);
+    const registry = HealthRegistries.createTargetHealthRegistry('a', Fleets.hashText);
+    registry.setRoster([{ name: 'a', incarnation: 1 }]);
+    ['t1', 't2', 't3'].forEach((target) => registry.recordReport({ target, state: 'dead' }, 0));
+    const first = registry.listDelta([0], 0, 2);
     expect(first.versions).toEqual([2]);
-    const second = table.listDelta(first.versions, 0, 2);
+    const second = registry.listDelta(first.versions, 0, 2);
     expect(second.versions).toEqual([3]);
     expect(second.observers.flatMap(({ facts }) => facts.map(({ target }) => target))).toEqual([
       't3',
--- a/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
+++ b/packages/sequoiarill-plugin-membership/src/__tests__/membership.test.ts
@@ -152,7 +152,7 @@
   });
 
   it('removes a dead router and rejects its old incarnation afterwards', () => {
-    const table = PeerRegistries.createPeerRegistry({
+    const registry = PeerRegistries.createPeerRegistry({
       process: { name: 'a', zone: 'z1', region: 'r1' },
       address: 'a:1',
       incarnation: 1,
@@ -166,14 +166,14 @@
       incarnation: 5,
       state: 'alive',
     } as const;
-    table.mergeRecord(record, 0);
-    table.markDead('b', 0);
-    table.removeExpired(PeerRegistries.DEAD_RECORD_RETENTION_MS);
-    expect(table.findRecord('b')).toEqual(undefined);
-    table.mergeRecord(record, PeerRegistries.DEAD_RECORD_RETENTION_MS);
-    expect(table.findRecord('b')?.state).toEqual('dead');
-    table.mergeRecord({ ...record, incarnation: 6 }, PeerRegistries.DEAD_RECORD_RETENTION_MS);
-    expect(table.findRecord('b')?.state).toEqual('alive');
+    registry.mergeRecord(record, 0);
+    registry.markDead('b', 0);
+    registry.removeExpired(PeerRegistries.DEAD_RECORD_RETENTION_MS);
+    expect(registry.findRecord('b')).toEqual(undefined);
+    registry.mergeRecord(record, PeerRegistries.DEAD_RECORD_RETENTION_MS);
+    expect(registry.findRecord('b')?.state).toEqual('dead');
+    registry.mergeRecord({ ...record, incarnation: 6 }, PeerRegistries.DEAD_RECORD_RETENTION_MS);
+    expect(registry.findRecord('b')?.state).toEqual('alive');
   });
 });
 
--- a/packages/sequoiarill-plugin-membership/src/failureDetector.ts
+++ b/packages/sequoiarill-plugin-membership/src/failureDetector.ts
@@ -1,10 +1,10 @@
 /**
  * Failure detector for the routers of the local zone. Performs no I/O: the time is an argument.
  *
- * A zone has up to tens of routers. Their heartbeats are relayed by other routers about twice a
- * second, with pauses of a second under load. With a fixed threshold instead of one derived from
- * measured intervals, a busy zone would declare half of its routers dead, and each death causes a
- * round of record exchanges.
+ * Load pattern: a zone of up to tens of routers. Their heartbeats are relayed by other routers,
+ * each about twice a second, with pauses of a second under load. With a fixed threshold instead of
+ * one derived from measured intervals, a busy zone would declare half of its routers dead, and each
+ * death causes a round of record exchanges.
  */
 import type { RosterEntry } from './peerRegistry';
 
--- a/packages/sequoiarill-plugin-membership/src/partners.ts
+++ b/packages/sequoiarill-plugin-membership/src/partners.ts
@@ -1,11 +1,11 @@
 /**
  * Chooses the partners of each gossip round. Performs no I/O: random numbers are an argument.
  *
- * With one partner of the local zone per round, a fact reaches the whole zone within a few rounds,
- * and the cost per router does not grow with the size of the zone. Calls to other zones and regions
- * are limited per zone instead of per router, so that a zone makes about the same number a second
- * however many routers it has; otherwise a fleet of 570 routers would make 18 times as many calls
- * between zones.
+ * Load pattern: every router runs rounds all the time. With one partner of the local zone per
+ * round, a fact reaches the whole zone within a few rounds, and the cost per router does not grow
+ * with the size of the zone. Calls to other zones and regions are limited per zone instead of per
+ * router, so that a zone makes about the same number a second however many routers it has;
+ * otherwise a fleet of 570 routers would make 18 times as many calls between zones.
  */
 import type { PeerRecord } from './peerRecord';
 
--- a/packages/sequoiarill-plugin-membership/src/publishing.ts
+++ b/packages/sequoiarill-plugin-membership/src/publishing.ts
@@ -1,12 +1,12 @@
 /**
  * Decides which of its own observations a router publishes to the other routers of the zone.
  *
- * In a zone of 32 routers each one observes the load of 372 targets every second. If all were
- * published, each router would receive 11,904 facts a second, 20 times the byte budget. A change of
- * state is therefore published at once by each router that observes it, but load by only one router
- * per target: a hash ranks the routers for each target, and the delay before publishing grows with
- * the rank number, so that the fact of the first router arrives before the delays of the others
- * end. This needs no leader election and tolerates the failure of any router.
+ * Load pattern: in a zone of 32 routers each one observes the load of 372 targets every second. If
+ * all were published, each router would receive 11,904 facts a second, 20 times the byte budget. A
+ * change of state is therefore published at once by each router that observes it, but load by only
+ * one router per target: a hash ranks the routers for each target, and the delay before publishing
+ * grows with the rank number, so that the fact of the first router arrives before the delays of the
+ * others end. This needs no leader election and tolerates the failure of any router.
  */
 import type { TargetReport } from '@sequoiarill/types';
 
--- a/packages/sequoiarill-plugin-platform/src/__tests__/readerRole.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/readerRole.test.ts
@@ -121,19 +121,19 @@
     platform.faults.isDown = true;
     platform.closeWatches();
     await runFor(60_000);
-    const away = platform.getCalls();
+    const duringOutage = platform.getCalls();
     await runFor(60_000);
-    const stillAway = platform.getCalls();
+    const endOfOutage = platform.getCalls();
     // One call per node every 7.5 s on average, and no write.
-    expect((stillAway.read - away.read) / 32 <= 9).toEqual(true);
-    expect(stillAway.write).toEqual(away.write);
+    expect((endOfOutage.read - duringOutage.read) / 32 <= 9).toEqual(true);
+    expect(endOfOutage.write).toEqual(duringOutage.write);
     platform.write(KEY, Fixtures.formatModelSection('v2'));
     platform.faults.isDown = false;
     await runFor(12_000);
-    const back = platform.getCalls();
+    const afterOutage = platform.getCalls();
     expect(listVersions(nodes)).toEqual(['v2']);
-    expect(back.write - stillAway.write <= 16).toEqual(true);
-    expect(back.read - stillAway.read <= 80).toEqual(true);
+    expect(afterOutage.write - endOfOutage.write <= 16).toEqual(true);
+    expect(afterOutage.read - endOfOutage.read <= 80).toEqual(true);
     await stopAll();
   });
 
--- a/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
+++ b/packages/sequoiarill-plugin-platform/src/__tests__/snapshots.test.ts
@@ -55,11 +55,11 @@
 }
 
 function buildFromTexts(texts: ReadonlyMap<string, string>): Configuration {
-  const parts = [...texts].flatMap(([name, text]) => {
+  const items = [...texts].flatMap(([name, text]) => {
     const result = SectionParser.parseSection(text, 'test', name);
     return result.kind === 'section' ? [[name, Builder.buildItems(result.content)] as const] : [];
   });
-  return Builder.buildConfiguration(0, new Map(parts), new Map());
+  return Builder.buildConfiguration(0, new Map(items), new Map());
 }
 
 describe('snapshots', () => {
--- a/packages/sequoiarill-plugin-platform/src/documentReader.ts
+++ b/packages/sequoiarill-plugin-platform/src/documentReader.ts
@@ -65,8 +65,8 @@
 /**
  * Updates a document by reading only the sections that changed since.
  *
- * With tens of edits per second to different sections, reading and checking all of a large document
- * for each attempt takes longer than the marker stays unchanged, so no edit would succeed.
+ * Load pattern: tens of edits per second to different sections. Reading and checking all of a large
+ * document for each attempt takes longer than the marker stays unchanged, so no edit would succeed.
  * Unchanged sections keep their objects, and with them their cached parse results.
  */
 export async function updateDocument(
--- a/packages/sequoiarill-plugin-platform/src/snapshotPublisher.ts
+++ b/packages/sequoiarill-plugin-platform/src/snapshotPublisher.ts
@@ -2,11 +2,11 @@
  * Holds the current snapshot and publishes new ones to subscribers. Changes in quick succession are
  * merged into one snapshot.
  *
- * In working hours, bursts of tens of edits per second occur, each to one of hundreds of sections.
- * Without merging, each edit would rebuild maps with thousands of entries while tokens wait to be
- * relayed. After a build that took t, the next one waits 100 t, so that builds use at most 1% of a
- * core, out of the 2.2% allowed for the entire control plane. The wait is at most one second, out
- * of the eight seconds within which a change must take effect.
+ * Load pattern: in working hours, bursts of tens of edits per second, each to one of hundreds of
+ * sections. Without merging, each edit would rebuild maps with thousands of entries while tokens
+ * wait to be relayed. After a build that took t, the next one waits 100 t, so that builds use at
+ * most 1% of a core, out of the 2.2% allowed for the entire control plane. The wait is at most one
+ * second, out of the eight seconds within which a change must take effect.
  */
 import type { Clock, Configuration, LogEvent, Metrics, Unsubscribe } from '@sequoiarill/types';
 
@@ -34,7 +34,8 @@
 }
 
 /**
- * A build or listener that throws has a broken invariant: fails the process, as a direct call does.
+ * A build or a listener that throws has violated an invariant, which must stop the process. Rethrows
+ * the error outside the promise of a delayed build, so that it does so as after a direct call.
  */
 function failProcess(error: unknown): void {
   queueMicrotask(() => {
