--- a/packages/sequoiarill-plugin-directory/src/storeFollower.ts
+++ b/packages/sequoiarill-plugin-directory/src/storeFollower.ts
@@ -57,8 +57,8 @@
  */
 const BATCH_PAUSE_MS = 350;
 /**
- * Wait of a watch that other routers depend on: they recognise a failed reader by the age of its
- * state.
+ * Longest wait of a watch that other routers depend on. It is short, because they recognise a failed
+ * reader by the age of its state.
  */
 export const READER_WATCH_WAIT_MS = 700;
 /**
--- a/packages/sequoiarill-plugin-platform/src/configurationSync.ts
+++ b/packages/sequoiarill-plugin-platform/src/configurationSync.ts
@@ -38,7 +38,8 @@
 }
 
 /**
- * Replaces a failed reader about when its announcement becomes stale; fits three renewal intervals.
+ * A failed reader is replaced about when its announcement becomes stale. Long enough for three
+ * renewal intervals.
  */
 const READER_TTL_SECONDS = 4;
 
