--- a/packages/sequoiarill-kernel/src/kernel.ts
+++ b/packages/sequoiarill-kernel/src/kernel.ts
@@ -29,11 +29,11 @@
 
 const BYTES_PER_MB = 1_048_576;
 const MS_PER_SECOND = 1_000;
+const START_TIMEOUT_MS = 10_000;
 /**
  * Local services start within milliseconds; the broker's default polling interval of 1 s per
  * service would add up.
  */
-const START_TIMEOUT_MS = 10_000;
 const START_POLL_MS = 10;
 
 export interface KernelOptions {
--- a/packages/sequoiarill-plugin-callers/src/eventStream.ts
+++ b/packages/sequoiarill-plugin-callers/src/eventStream.ts
@@ -42,7 +42,7 @@
   state.setState('sending');
 }
 
-/** Formats the final event of a failed stream, which clients of the published APIs raise. */
+/** Formats the final event of a failed stream; clients of the published APIs raise it as an error. */
 export function formatErrorEvent(fault: Fault): string {
   return `event: error\ndata: ${Faults.formatFault(fault)}\n\n`;
 }
--- a/packages/sequoiarill-plugin-callers/src/responseStore.ts
+++ b/packages/sequoiarill-plugin-callers/src/responseStore.ts
@@ -35,7 +35,10 @@
 
 /** A generation pauses while its slowest reader is further behind than this. */
 const MAX_BACKLOG_BYTES = 262_144;
-/** Share kept when events are dropped; dropping a quarter at once makes drops infrequent. */
+/**
+ * Share kept when events are dropped. A quarter is dropped at once, so that adding an event rarely
+ * causes the cost of a drop.
+ */
 const KEPT_SHARE = 0.75;
 
 export function createResponseStore(settings: CallersSettings, clock: Clock): ResponseStore {
--- a/packages/sequoiarill-plugin-operators/src/listener.ts
+++ b/packages/sequoiarill-plugin-operators/src/listener.ts
@@ -33,7 +33,7 @@
   const host = listen.slice(0, separator).replace(/^\[(.*)\]$/, '$1');
   const port = Number(listen.slice(separator + 1));
   let handleRequest: HandleRequest = (request, response) =>
-    ErrorResponses.sendError(response, 503, 'starting', 'the process is starting; ask again');
+    ErrorResponses.sendError(response, 503, 'starting', 'the process is starting; try again');
   const server = createServer((request, response) => handleRequest(request, response));
   server.requestTimeout = REQUEST_TIMEOUT_MS;
   server.headersTimeout = REQUEST_TIMEOUT_MS;
--- a/packages/sequoiarill-plugin-operators/src/service.ts
+++ b/packages/sequoiarill-plugin-operators/src/service.ts
@@ -92,8 +92,8 @@
       const entries = context.journal.explainRequest(requestId);
       if (entries === undefined) {
         const message =
-          `process "${context.process.name}" knows no request "${requestId}": another router had ` +
-          'it, or it is older than the journal';
+          `process "${context.process.name}" has no record of request "${requestId}": another ` +
+          'router handled it, or its entries were evicted from the journal';
         return refuseCall(call, HTTP_NOT_FOUND, 'unknownRequest', message);
       }
       return Redaction.removeSecrets({ requestId, process: context.process.name, entries });
--- a/packages/sequoiarill-plugin-orders/src/__tests__/claims.test.ts
+++ b/packages/sequoiarill-plugin-orders/src/__tests__/claims.test.ts
@@ -115,8 +115,9 @@
   });
 
   it('send nothing while the platform is unavailable', async () => {
-    // If the order were sent without a claim, a repeated order at another router would run it a
-    // second time. The router refuses the order instead.
+    // The platform is unavailable when an order arrives. If the order were sent without a claim, a
+    // repeated order at another router would run it a second time. The router refuses the order
+    // instead, and the caller receives "not run".
     const store = FakeStores.createFakeStore();
     const target = createCountingTarget();
     const router = createRouter('a', store, target.runAttempts, [...NO_LEASE_FAULTS, 'away']);
--- a/packages/sequoiarill-plugin-orders/src/attempts.ts
+++ b/packages/sequoiarill-plugin-orders/src/attempts.ts
@@ -22,7 +22,7 @@
   readonly budget: RetryBudget;
   readonly sendOrder: SendOrder;
   readonly listTargets: (service: string) => readonly ServiceTarget[];
-  /** Called after each attempt, in their order. */
+  /** Called once per attempt, in the order of the attempts. */
   readonly recordAttempt: (
     order: OrderRequest,
     target: ServiceTarget,
--- a/packages/sequoiarill-standins/src/engine/completions.ts
+++ b/packages/sequoiarill-standins/src/engine/completions.ts
@@ -72,7 +72,7 @@
 ): Promise<void> {
   const finishReason = await waitUntilEnded(core, generation, response);
   if (finishReason === undefined) {
-    const message = 'the generation was stopped by another order';
+    const message = 'the generation was stopped by another request or command';
     const error = { status: STOPPED_STATUS, message, type: 'conflict_error', code: 'stopped' };
     Errors.sendError(response, error);
     return;
--- a/packages/sequoiarill-standins/src/engine/core.ts
+++ b/packages/sequoiarill-standins/src/engine/core.ts
@@ -106,7 +106,7 @@
     if (requestedTokens > settings.contextTokens) {
       return Errors.buildContextExceeded(settings.contextTokens, requestedTokens);
     }
-    return draining ? Errors.buildOverloaded('it drains') : undefined;
+    return draining ? Errors.buildOverloaded('it is draining') : undefined;
   }
 
   function startGeneration(
--- a/packages/sequoiarill-standins/src/engine/engine.ts
+++ b/packages/sequoiarill-standins/src/engine/engine.ts
@@ -109,7 +109,7 @@
     const { incarnation } = core.getLoad();
     await gate.waitOpen();
     if (core.getLoad().incarnation !== incarnation) return;
-    if (failsFast) Errors.sendError(response, Errors.buildOverloaded('it fails everything'));
+    if (failsFast) Errors.sendError(response, Errors.buildOverloaded('a fault is injected'));
     else await Routes.handleEngineRequest({ core, getReportedLoad }, exchange);
   }
 
--- a/packages/sequoiarill-standins/src/engine/errors.ts
+++ b/packages/sequoiarill-standins/src/engine/errors.ts
@@ -26,7 +26,7 @@
 export function buildContextExceeded(contextTokens: number, requestedTokens: number): EngineError {
   return {
     status: 400,
-    message: `this model's context is ${contextTokens} tokens, but ${requestedTokens} were asked for`,
+    message: `this model's context is ${contextTokens} tokens, but ${requestedTokens} were requested`,
     type: 'invalid_request_error',
     code: 'context_length_exceeded',
     param: 'messages',
@@ -55,7 +55,7 @@
 export function buildStaleFencing(key: string): EngineError {
   return {
     status: 409,
-    message: `a higher fencing number than that of this order was seen for ${key}`,
+    message: `the fencing number is stale: a higher one was received for ${key}`,
     type: 'conflict_error',
     code: 'stale_fencing_number',
     param: 'x-fencing-number',
@@ -65,7 +65,7 @@
 export function buildOverloaded(reason: string): EngineError {
   return {
     status: 503,
-    message: `the engine takes no new work: ${reason}`,
+    message: `the engine accepts no new work: ${reason}`,
     type: 'service_unavailable',
     code: 'overloaded',
     retryAfterSeconds: 1,
--- a/packages/sequoiarill-standins/src/engine/routes.ts
+++ b/packages/sequoiarill-standins/src/engine/routes.ts
@@ -85,7 +85,7 @@
   const { request, response } = exchange;
   const parsed = modelCommandSchema.safeParse(Http.parseJson(exchange.body));
   if (!parsed.success) {
-    Errors.sendError(response, Errors.buildInvalid('name the model', 'model'));
+    Errors.sendError(response, Errors.buildInvalid('the body must contain a model name', 'model'));
     return;
   }
   const { model } = parsed.data;
--- a/packages/sequoiarill-standins/src/main.ts
+++ b/packages/sequoiarill-standins/src/main.ts
@@ -72,7 +72,7 @@
 
 function createProgram(): Commander.Command {
   const program = new Commander.Command('sequoiarill-standin');
-  program.description('Runs a small stand-in for what sequoiarill talks to.');
+  program.description('Runs a stand-in for a system that sequoiarill communicates with.');
   for (const kind of KINDS) {
     program
       .command(kind.name)
--- a/packages/sequoiarill-standins/src/service/service.ts
+++ b/packages/sequoiarill-standins/src/service/service.ts
@@ -44,7 +44,7 @@
     waitingCount -= 1;
     if (startIncarnation !== incarnation) return;
     if (failsFast) {
-      sendError(response, 503, 'the service fails everything');
+      sendError(response, 503, 'a fault makes the service refuse every call');
       return;
     }
     const answer = runs.runCall(buildCall(exchange));
--- a/packages/sequoiarill-types/src/index.ts
+++ b/packages/sequoiarill-types/src/index.ts
@@ -1,4 +1,4 @@
-/** Public types of sequoiarill: configuration, messages, outcomes and plugin interfaces. */
+/** Public types of sequoiarill: configuration, messages, outcomes and plug-in interfaces. */
 export type * from './configuration';
 export type * from './forwarding';
 export type * from './generations';
--- a/packages/sequoiarill-types/src/keyValue.ts
+++ b/packages/sequoiarill-types/src/keyValue.ts
@@ -127,7 +127,7 @@
     prefix: string,
     fromRevision: number,
     signal: AbortSignal,
-    /** Longest time until the next event, milliseconds. It has no changes if nothing changed. */
+    /** Longest time until the next event, milliseconds. Without changes, an empty event follows. */
     waitMs?: number,
   ) => AsyncGenerator<WatchEvent, void, void>;
 }
--- a/packages/sequoiarill-types/src/peers.ts
+++ b/packages/sequoiarill-types/src/peers.ts
@@ -63,7 +63,7 @@
   readonly ageMs: number;
 }
 
-/** A content that terminated so many targets that no router sends it to another one. */
+/** A request content that terminated so many targets that no router sends it to another one. */
 export interface ContentBlock {
   readonly content: string;
   /** Ages of the first and of the last crash, milliseconds. */
--- a/packages/sequoiarill-types/src/plugins.ts
+++ b/packages/sequoiarill-types/src/plugins.ts
@@ -1,4 +1,4 @@
-/** Interfaces between the kernel and its plugins. */
+/** Interfaces between the kernel and its plug-ins. */
 import type { ServiceBroker, ServiceSchema } from 'moleculer';
 import type { ZodType } from 'zod';
 
@@ -12,7 +12,7 @@
 import type { RouterPeers } from './peers';
 import type { Rollouts } from './rollouts';
 
-/** Capabilities that plugins provide to each other. They are resolved once, at start. */
+/** Capabilities that plug-ins provide to each other. They are resolved once, at start. */
 export interface Capabilities {
   readonly configuration: ConfigurationReader;
   readonly configurationExchange: ConfigurationExchange;
@@ -89,15 +89,15 @@
   readonly nextRandom: () => number;
   readonly broker: ServiceBroker;
   readonly getPhase: () => LifecyclePhase;
-  /** State of the process and of each plugin. */
+  /** State of the process and of each plug-in. */
   readonly dumpProcess: () => Promise<ProcessDump>;
   /** Starts draining and stopping the process, as SIGTERM does. */
   readonly requestStop: () => void;
-  /** Accepts only names that the plugin lists in `needs`. */
+  /** Accepts only names that the plug-in lists in `needs`. */
   readonly getCapability: <Name extends CapabilityName>(name: Name) => Capabilities[Name];
 }
 
-/** Values must be serializable by `JSON.stringify` and must not contain secrets. */
+/** Values must be serialisable by `JSON.stringify` and must not contain secrets. */
 export type StateDump = Readonly<Record<string, unknown>>;
 
 export interface ProcessDump {
@@ -120,7 +120,7 @@
 }
 
 export interface Plugin<Settings = unknown> {
-  /** Also the name of the plugin's settings section. */
+  /** Also the name of the plug-in's settings section. */
   readonly name: string;
   /** Validates the settings section. Every key needs a default or a clear error message. */
   readonly settingsSchema: ZodType<Settings>;
