--- a/packages/sequoiarill-plugin-orders/src/retryBudget.ts
+++ b/packages/sequoiarill-plugin-orders/src/retryBudget.ts
@@ -1,10 +1,10 @@
 /**
  * Limits retries to a share of the first attempts. Uses no clock and no I/O.
  *
- * Without a budget, every order to a slow or failing service under steady traffic would be sent up
- * to the attempt limit: a service that fails under load would receive a multiple of that load and
- * could not recover. With the budget, retries add at most `ratio` to the load over time, whatever
- * the failure rate.
+ * Load pattern: a slow or failing service under steady traffic. Without a budget, every order would
+ * be sent up to the attempt limit: a service that fails under load would receive a multiple of that
+ * load and could not recover. With the budget, retries add at most `ratio` to the load over time,
+ * whatever the failure rate.
  */
 
 /**
--- a/packages/sequoiarill-plugin-orders/src/targetChoice.ts
+++ b/packages/sequoiarill-plugin-orders/src/targetChoice.ts
@@ -2,15 +2,15 @@
  * Chooses the target of an order: the one with the fewest in-flight orders, round-robin among
  * equals. Deterministic, since the monotonic time is an argument.
  *
- * The choice is made for a few targets, one of which may be slow or dead. A slow target receives
- * fewer orders without reporting its load, since its orders stay in flight longer. A dead target
- * would look idle and attract every order, so after a failed connection it is skipped for a while
- * (backoff); then a single order probes it before others follow. While the target stays dead, the
- * backoff doubles, because in a zone that is cut off each probe costs one caller the full connect
- * timeout.
+ * Load pattern: a few targets, one of which is slow or dead. A slow target receives fewer orders
+ * without reporting its load, since its orders stay in flight longer. A dead target would look idle
+ * and attract every order, so after a failed connection it is skipped for a while (backoff); then a
+ * single order probes it before others follow. While the target stays dead, the backoff doubles,
+ * because in a zone that is cut off each probe costs one caller the full connect timeout.
  *
- * When all targets are saturated, further orders are rejected instead of queued: callers wait for
- * seconds at most, and a queue would send their orders when they have already disconnected.
+ * Load pattern: saturation. Orders above the in-flight limits of the targets are rejected instead of
+ * queued: callers wait for seconds at most, and a queue would send their orders when they have
+ * already disconnected.
  */
 import type { Configuration, ServiceTarget } from '@sequoiarill/types';
 
--- a/packages/sequoiarill-plugin-orders/src/transactionBatches.ts
+++ b/packages/sequoiarill-plugin-orders/src/transactionBatches.ts
@@ -1,9 +1,10 @@
 /**
  * Merges the transactions of one router into few calls to the platform's key-value service.
  *
- * With many orders at once or many routers, one call per claim would use up the few hundred writes
- * per second that all users of the platform share. Here, the rate of a router's calls has a limit
- * that does not depend on its number of orders; more orders make the batches larger, up to a limit.
+ * Load pattern: many orders at once, or many routers. One call per claim would use up the few hundred
+ * writes per second that all users of the platform share. Here, the rate of a router's calls has a
+ * limit that does not depend on its number of orders; more orders make the batches larger, up to a
+ * limit.
  */
 import type {
   Clock,
--- a/packages/sequoiarill-standins/src/engine/completions.ts
+++ b/packages/sequoiarill-standins/src/engine/completions.ts
@@ -172,7 +172,10 @@
   if (Number.isInteger(startingAfter) && startingAfter >= 0 && startingAfter <= produced) {
     return undefined;
   }
-  return Errors.buildInvalid(`starting_after is not within 0 and ${produced}`, 'starting_after');
+  return Errors.buildInvalid(
+    `starting_after must be an integer from 0 to ${produced}`,
+    'starting_after',
+  );
 }
 
 /** `POST /v1/completions/{request-id}/cancel`. */
--- a/packages/sequoiarill-standins/src/engine/settings.ts
+++ b/packages/sequoiarill-standins/src/engine/settings.ts
@@ -26,7 +26,7 @@
   cacheTokens: SharedSettings.createCountSchema(0, 1_000_000),
   /** Delay until cache events are published, in milliseconds. */
   cacheEventDelayMs: SharedSettings.createCountSchema(0, 500),
-  /** Each cache event whose number this divides is never published; 0 disables the gaps. */
+  /** With the value n, every n-th cache event is never published; 0 disables the gaps. */
   cacheEventGapEvery: SharedSettings.createCountSchema(0, 0),
   /**
    * Interval at which the load reported by `GET /load` is updated, in milliseconds; 0 reports the
--- a/packages/sequoiarill-types/src/configuration.ts
+++ b/packages/sequoiarill-types/src/configuration.ts
@@ -71,7 +71,7 @@
   readonly models: readonly string[];
   /** Generations that the engine runs concurrently. */
   readonly slots: number;
-  /** Whether the engine refuses a request that carries an outdated fencing number. */
+  /** Whether the engine refuses a request that carries a stale fencing number. */
   readonly checksFencing: boolean;
 }
 
