--- a/packages/sequoiarill-decisions/src/__tests__/budgets.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/budgets.test.ts
@@ -9,7 +9,7 @@
 describe('retryBudget', () => {
   it('bounds retries to a share of the requests when everything fails', () => {
     // Every target of a model fails at once. Each request would be tried three more times, and the
-    // load on what is left would rise fourfold.
+    // load on the remaining capacity would rise fourfold.
     const budget = RetryBudget.createRetryBudget({ ratio: 0.1, minPerSecond: 1, burst: 10 });
     let retries = 0;
     for (let index = 0; index < 10_000; index += 1) {
@@ -55,8 +55,9 @@
   });
 
   it('follows measured gaps down and up again', () => {
-    // Engines answer every 30 ms at rest, so a silence of 300 ms is a loss; under load the same
-    // engines pause for 200 ms now and then, and the same threshold would cut healthy streams.
+    // Without load, engines send a token every 30 ms, so a gap of 300 ms means that the target is
+    // lost. Under load the same engines sometimes pause for 200 ms, and the same threshold would
+    // cut healthy streams.
     const policy = StallPolicy.createStallPolicy();
     for (let index = 0; index < 1_000; index += 1) policy.recordGap('t', 30);
     expect(policy.getLimits('t', 'resumeLatency').gapMs).toEqual(300);
--- a/packages/sequoiarill-decisions/src/__tests__/enginePlacement.test.ts
+++ b/packages/sequoiarill-decisions/src/__tests__/enginePlacement.test.ts
@@ -57,10 +57,10 @@
 
 /** Other prompts have 8,000 tokens, and engines prefill eight tokens in a millisecond. */
 function chooseForPrompt(
-  question: Pick<EnginePlacement.EnginePlacementQuery, 'views' | 'zone' | 'promptTokens'>,
+  query: Pick<EnginePlacement.EnginePlacementQuery, 'views' | 'zone' | 'promptTokens'>,
 ) {
   return EnginePlacement.chooseEngines({
-    ...question,
+    ...query,
     usualPromptTokens: 8_000,
     prefillMsPerToken: 0.125,
   });
--- a/packages/sequoiarill-decisions/src/availableTargets.ts
+++ b/packages/sequoiarill-decisions/src/availableTargets.ts
@@ -21,6 +21,6 @@
 ): readonly Candidate[] {
   const ready = targets.filter(({ state }) => state === 'ready');
   const unconfirmed = targets.filter(({ state }) => state === 'unconfirmed');
-  const isLapseLikely = unconfirmed.length > ready.length || ready.every(isSuspect);
-  return isLapseLikely ? [...ready, ...unconfirmed] : ready;
+  const isExpiryLikely = unconfirmed.length > ready.length || ready.every(isSuspect);
+  return isExpiryLikely ? [...ready, ...unconfirmed] : ready;
 }
--- a/packages/sequoiarill-decisions/src/concurrencyLimit.ts
+++ b/packages/sequoiarill-decisions/src/concurrencyLimit.ts
@@ -40,7 +40,10 @@
  * second for the queue in front of them. docs/design/0003 compares it with other values.
  */
 export const DEFAULT_WAIT_TARGET_MS = 30;
-/** Newest samples that are evaluated: three seconds of a small router, less of a busy one. */
+/**
+ * Newest samples that are evaluated: three seconds of traffic at a router with low load, less at a
+ * busy one.
+ */
 const EVALUATED_SAMPLES = 40;
 const EVALUATED_QUANTILE = 0.8;
 /**
@@ -63,7 +66,10 @@
  * limit to a small part of the capacity.
  */
 const MIN_BUSY_SHARE = 0.93;
-/** The limit only increases while this share of it is in use; an unused limit is no evidence. */
+/**
+ * The limit only increases while this share of it is in use: when much of it is unused, first tokens
+ * on time do not show that the targets could run more.
+ */
 const MIN_USED_SHARE = 0.85;
 
 export function createConcurrencyLimit(options: ConcurrencyLimitOptions): ConcurrencyLimit {
--- a/packages/sequoiarill-decisions/src/continuationPacer.ts
+++ b/packages/sequoiarill-decisions/src/continuationPacer.ts
@@ -15,7 +15,10 @@
  * 4,000, and 4.0 s without any pacing (docs/design/0003).
  */
 const DEFAULT_TOKENS_PER_SECOND = 32_000;
-/** Leaves half a second of the 3 s for detection with the short timeout or a cached prefill. */
+/**
+ * Leaves half a second of the 3 s, either for detecting the loss with the short stall timeout
+ * (`resumeLatency`) or for a cached prefill.
+ */
 const DEFAULT_MAX_DELAY_MS = 2_500;
 
 export interface ContinuationPacerOptions {
--- a/packages/sequoiarill-decisions/src/expectedWait.ts
+++ b/packages/sequoiarill-decisions/src/expectedWait.ts
@@ -29,7 +29,8 @@
 /** High enough to make a slow target the last resort. */
 const SLOW_TARGET_COST_MS = 5_000;
 /**
- * Keeps interrupted streams away from a target that failed recently and has not proved itself yet.
+ * Keeps continued streams away from a target that warms up, possibly after a failure: a stream that
+ * was interrupted once must not be the request that tests whether the target works again.
  */
 const NEW_TARGET_COST_MS = 2_000;
 /**
--- a/packages/sequoiarill-decisions/src/fairQueue.ts
+++ b/packages/sequoiarill-decisions/src/fairQueue.ts
@@ -5,8 +5,8 @@
  * With first come, first served, a few organisations that send most of the load would get a share
  * in proportion to what they send instead of their weight, and one long request would hold back the
  * short ones behind it. Start-time fair queueing (Goyal, Vin, Cheng 1996) charges each organisation
- * the work of its requests divided by its weight, and serves the one with the lowest start tag in
- * logarithmic time of the number of waiting organisations.
+ * the work of its requests divided by its weight, and serves the one with the lowest start tag, in
+ * time logarithmic in the number of waiting organisations.
  */
 import * as Heap from './heap';
 
--- a/packages/sequoiarill-decisions/src/fleetRetryBudget.ts
+++ b/packages/sequoiarill-decisions/src/fleetRetryBudget.ts
@@ -35,7 +35,10 @@
   readonly releaseRetry: () => void;
   /** Retries that the window allows, including those already spent. */
   readonly getCapacity: (nowMs: number) => number;
-  /** Grants up to `wanted` retries, also fractions, from the remaining quota as spent here. */
+  /**
+   * Grants another router up to `wanted` retries, fractions included, from the remaining quota. They
+   * count as spent by this router.
+   */
   readonly grantQuota: (nowMs: number, wanted: number) => number;
   /** Adds quota that another router granted for the window that begins now. */
   readonly recordBorrowed: (nowMs: number, retries: number) => void;
@@ -50,7 +53,10 @@
 const SLACK_MARGIN = 0.85;
 /** A router that knows fewer routers than this may not have discovered the others yet. */
 const MIN_ROUTERS = 6;
-/** Factor for the slack in the first window of an incarnation. */
+/**
+ * Factor for the slack in the first window of an incarnation, since an earlier incarnation may have
+ * spent some of it.
+ */
 const FIRST_WINDOW_SHARE = 0.4;
 /** Slots of a window in which events are counted; the age of an event is accurate to one slot. */
 const WINDOW_SLOTS = 20;
--- a/packages/sequoiarill-decisions/src/rateLimitShares.ts
+++ b/packages/sequoiarill-decisions/src/rateLimitShares.ts
@@ -5,7 +5,7 @@
  * at that rate, they would overload the target further; split evenly, each share would be one request a
  * minute and would be unused wherever no caller sends requests. So only some routers send to such a
  * target, each at two requests a second or more. Routers of the target's zone come first, since they can
- * reach it when the zone is cut off. All routers compute the same ranking, so the shares need no
+ * reach it when the zone is partitioned. All routers compute the same ranking, so the shares need no
  * coordination. The other routers borrow unused permits from the senders.
  */
 import type { ObservedLimit, RateLimitedTarget, RouterLocation } from '@sequoiarill/types';
--- a/packages/sequoiarill-decisions/src/rolloutAssessment.ts
+++ b/packages/sequoiarill-decisions/src/rolloutAssessment.ts
@@ -31,9 +31,12 @@
 /** Evidence above which a version is not sound. */
 const MAX_SOUND_EVIDENCE = 1.5;
 const MIN_BAD_ANSWERS = 4;
-/** Hypothesis of a bad version: this share of the answers that would otherwise be good are bad. */
+/** Hypothesis of a bad version: at least this share of the otherwise good answers turn bad. */
 const BAD_EXCESS = 0.25;
-/** Prior counts of the old version, which apply before it has answers of its own. */
+/**
+ * Prior counts that are added to those of the old version, so that its rate of bad answers is defined
+ * before it has given any answers.
+ */
 const PRIOR_BAD_ANSWERS = 1;
 const PRIOR_ANSWERS = 20;
 const MIN_BASELINE_RATE = 0.02;
--- a/packages/sequoiarill-decisions/src/rolloutSplit.ts
+++ b/packages/sequoiarill-decisions/src/rolloutSplit.ts
@@ -3,7 +3,7 @@
  *
  * Load pattern: normal load, of which a small share goes to a new version. Spread over all new targets, the
  * share would leave each of them nearly idle, and a fault under load would show only after all requests
- * have moved. So only as many targets get it that each has about the load of an old target.
+ * have moved. So only a few of them get it, each with about the load of an old target.
  */
 import type { RolloutPhase } from '@sequoiarill/types';
 
--- a/packages/sequoiarill-decisions/src/stallPolicy.ts
+++ b/packages/sequoiarill-decisions/src/stallPolicy.ts
@@ -4,8 +4,9 @@
  * Load pattern: one target pauses, while the gaps between tokens of all targets grow with load. A fixed
  * threshold fails both ways: under load it cuts healthy streams, whose prefill is then repeated, and
  * without load it makes callers wait. So the threshold is a multiple of recently measured gaps, within
- * bounds that depend on the organisation's preference. A loss must be repaired within 3 s, so the long
- * bound is shorter than that by the time to a cached first token; the short bound is below 1 s.
+ * bounds that depend on the organisation's preference. A loss must be repaired within 3 s, so the upper
+ * bound for `resourceUse` is shorter than that by the time to a cached first token; the one for
+ * `resumeLatency` is below 1 s.
  */
 import { build as buildHistogram } from 'hdr-histogram-js';
 
--- a/packages/sequoiarill-decisions/src/targetChooser.ts
+++ b/packages/sequoiarill-decisions/src/targetChooser.ts
@@ -202,7 +202,10 @@
   return { index, name: view.name, expectedWait, cachedShare, isHolder: shares.has(index) };
 }
 
-/** The first of equal candidates wins: prefix holders and the preferred target come first. */
+/**
+ * The first of equal candidates wins. Prefix holders come first, or else the preferred target, so that
+ * the routers agree on the target of a prefix that none of them has sent yet.
+ */
 function pickShortest(considered: readonly Considered[]): Considered | undefined {
   let best: Considered | undefined;
   for (const candidate of considered) {
