--- a/packages/sequoiarill-decisions/src/latencyAdmission.ts
+++ b/packages/sequoiarill-decisions/src/latencyAdmission.ts
@@ -67,7 +67,7 @@
 const MAX_IN_PROGRESS_PER_SLOT = 1.6;
 /**
  * Range of the `Retry-After` time. Overloads last for seconds, and refused callers wait for about a third of
- * that time; the times are spread at random so that the retries don't arrive as another burst.
+ * that time; the times are spread at random so that the retries don't form another burst.
  */
 const RETRY_AFTER_SECONDS = { least: 0.6, most: 1.4 } as const;
 
--- a/packages/sequoiarill-decisions/src/simulation/timeline.ts
+++ b/packages/sequoiarill-decisions/src/simulation/timeline.ts
@@ -29,7 +29,7 @@
     events.addValue({ atMs: Math.max(nowMs, atMs), sequence: lastSequence, action });
   }
 
-  function playUntil(untilMs: number): void {
+  function runUntil(untilMs: number): void {
     let first = events.getFirst();
     while (first !== undefined && first.atMs <= untilMs) {
       events.takeFirst();
@@ -40,5 +40,5 @@
     nowMs = untilMs;
   }
 
-  return { getNowMs: () => nowMs, addEvent, runUntil: playUntil };
+  return { getNowMs: () => nowMs, addEvent, runUntil };
 }
--- a/packages/sequoiarill-decisions/src/simulation/workloads.ts
+++ b/packages/sequoiarill-decisions/src/simulation/workloads.ts
@@ -29,7 +29,7 @@
   readonly longOutputShare: number;
   /** Number of distinct prompt prefixes; the first few make up most of the requests. */
   readonly prefixCount: number;
-  /** Retries of a caller whose request was refused or timed out, without waiting for Retry-After. */
+  /** Maximum retries of a caller that was refused or timed out; it ignores Retry-After. */
   readonly callerRetries: number;
   /** Requests and tokens from this time to `endMs` are counted. */
   readonly measuredFromMs: number;
