--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,6 +1,6 @@
 /**
- * Airbnb's rules, with what the brief of the users puts above them. Each rule that is switched off
- * or narrowed says why; see docs/contributing/style.md.
+ * Airbnb's rules with the overrides of the project's style guide, docs/contributing/style.md. Comments
+ * give the reasons why rules are switched off or narrowed.
  */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
@@ -10,13 +10,13 @@
 
 const ROOT = path.dirname(fileURLToPath(import.meta.url));
 
-/** First words a function may begin with. */
+/** Verbs that a function's name may begin with. */
 const VERBS = [
   ...readFileSync(path.join(ROOT, 'docs/contributing/VERBS.md'), 'utf8').matchAll(/^- `(\w+)`/gm),
 ].map((match) => match[1]);
 const VERB_PATTERN = `^(${VERBS.join('|')})([A-Z0-9].*)?$`;
 
-/** Prettier owns the layout, set to the same guide; two tools for one line would disagree. */
+/** Prettier formats the code by the same guide, and layout rules of ESLint would conflict with it. */
 const layoutRulesOff = Object.fromEntries(
   Object.keys(plugins.stylistic.plugins['@stylistic'].rules).map((name) => [
     `@stylistic/${name}`,
@@ -24,7 +24,7 @@
   ]),
 );
 
-/** Generators and loops over them are the control flow the brief asks for. */
+/** Unlike Airbnb's setting, permits `for...of`: generators and loops over them are the project's style. */
 const SYNTAX_RULE = ['error', 'ForInStatement', 'LabeledStatement', 'WithStatement'];
 
 export default [
@@ -38,7 +38,8 @@
   ...configs.base.typescript,
   { rules: layoutRulesOff },
   {
-    // Scripts and the command line run once and alone; the daemon's reads of files are at its start.
+    // Synchronous calls block nothing here: scripts and the command line serve no requests, and the
+    // daemon reads files only while it starts.
     rules: { 'n/no-sync': 'off', 'no-restricted-syntax': SYNTAX_RULE },
   },
   {
@@ -62,21 +63,20 @@
         },
       ],
       '@typescript-eslint/no-floating-promises': 'error',
-      // One task for each connection is written straight down, so that it reads in order.
+      // A connection's task is one sequential async function, so its steps are awaited in loops.
       'no-await-in-loop': 'off',
       'no-continue': 'off',
-      // Named exports and namespace imports are the brief's rule.
+      // The style guide requires named exports and namespace imports.
       'import-x/prefer-default-export': 'off',
       'import-x/no-namespace': 'off',
-      // A state object that a function is named to update is its job; bindings stay untouched.
+      // Functions may update the properties of a state object they are given, but not reassign parameters.
       'no-param-reassign': ['error', { props: false }],
-      // Small modules and short functions.
       'max-lines': ['error', { max: 300, skipBlankLines: true, skipComments: true }],
+      // Factory functions count with the functions that they contain.
       'max-lines-per-function': ['error', { max: 130, skipBlankLines: true, skipComments: true }],
       complexity: ['error', 12],
-      // Factories hold their functions; the factory itself is not one long function.
       'max-classes-per-file': 'off',
-      // Hoisted helpers below the public function let a file be read from the top.
+      // Function declarations are hoisted, so helpers may follow the public function that calls them.
       '@typescript-eslint/no-use-before-define': [
         'error',
         { functions: false, classes: true, variables: false },
@@ -91,19 +91,19 @@
       'packages/sequoiarill-demo/**/*.ts',
     ],
     rules: {
-      // Test tools are dependencies of the workspace, not of each package.
+      // Test tools are dependencies of the workspace root, not of each package.
       'import-x/no-extraneous-dependencies': 'off',
-      // The runner's describe and it are stable enough in Node.js 20 for tests.
+      // Node.js 20 marks parts of node:test as experimental; tests may use them.
       'n/no-unsupported-features/node-builtins': 'off',
-      // Test bodies are stories; a suite is one function by the shape of the runner.
+      // Each suite is one callback of `describe`, and a scenario's steps belong in one test body.
       'max-lines-per-function': 'off',
       'no-console': 'off',
       '@typescript-eslint/no-floating-promises': 'off',
     },
   },
   {
-    // A daemon ends its process itself once it has drained: idle connections would keep it. A soak that
-    // is stopped ends at once, and its routers with it.
+    // The daemon calls process.exit once it has drained, since idle connections would keep the process
+    // alive. The soak exits at once on a signal, which also ends its routers.
     files: ['platform/src/main.ts', 'soak/src/main.ts'],
     rules: { 'n/no-process-exit': 'off' },
   },
@@ -112,14 +112,14 @@
     rules: {
       'no-console': 'off',
       'n/no-process-exit': 'off',
-      // Tools of the build are dependencies of the workspace alone.
+      // Build tools are dependencies of the workspace root.
       'import-x/no-extraneous-dependencies': 'off',
-      // Scripts load what the build made of each package.
+      // Scripts load the compiled output of the packages by computed paths.
       'import-x/no-dynamic-require': 'off',
     },
   },
   {
-    // The commands load what the build made, which is not there when a fresh clone is linted.
+    // The commands load compiled output, which a fresh clone lacks when it is linted.
     files: ['**/bin/*.js'],
     rules: { 'import-x/no-unresolved': 'off', 'import-x/extensions': 'off' },
   },
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the platform's router into one file: it starts faster and takes less memory.
- * Argument: the file, instead of `target/router.js`.
+ * Bundles the platform's router into one file, which starts faster and uses less memory.
+ * Argument: the output file (default: `target/router.js`).
  */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
@@ -10,7 +10,7 @@
 
 const root = path.dirname(path.dirname(fileURLToPath(import.meta.url)));
 
-/** Packages of the workspace are taken from their sources, so that no build has to run before. */
+/** Resolves workspace packages to their sources, so that bundling needs no build first. */
 const workspaceSources = {
   name: 'workspace-sources',
   setup(build) {
@@ -25,39 +25,40 @@
   },
 };
 
-/** moleculer loads these only when its settings name them; they are not installed. */
+/** Optional peers of moleculer: loaded only when its settings select them, and not installed (except pino). */
 const { peerDependencies } = JSON.parse(
   readFileSync(path.join(root, 'node_modules/moleculer/package.json'), 'utf8'),
 );
 
 /**
- * Parts of libraries that this path never reaches. Most of a start is loading code: without these it takes
- * half the time and memory, which counts where a small VM starts again and its callers wait.
+ * Modules of libraries that the router never uses. Loading code dominates its start: without these
+ * modules the start takes half the time and memory, which matters when a small VM restarts while
+ * callers wait.
  */
-const unusedParts = [
-  // Exporters of traces, the runner's command line, and hot reloading.
-  { library: 'moleculer', parts: /^(node-fetch|args|glob)$/ },
-  // Forms with files.
-  { library: 'moleculer-web', parts: /^@fastify\/busboy$/ },
-  // Browser interfaces, test doubles, and caches of answers.
-  { library: 'undici', parts: /^\.\/lib\/(web|mock|cache)\// },
-  // Files of histograms, and their WebAssembly twin.
-  { library: 'hdr-histogram-js', parts: /^\.\/(HistogramLogReader|HistogramLogWriter|wasm)$/ },
+const unusedModules = [
+  // Trace exporters, the runner's command line, and hot reloading.
+  { library: 'moleculer', modules: /^(node-fetch|args|glob)$/ },
+  // Parsing of multipart uploads.
+  { library: 'moleculer-web', modules: /^@fastify\/busboy$/ },
+  // Web APIs, mocks, and the response cache.
+  { library: 'undici', modules: /^\.\/lib\/(web|mock|cache)\// },
+  // Readers and writers of histogram log files, and the WebAssembly implementation.
+  { library: 'hdr-histogram-js', modules: /^\.\/(HistogramLogReader|HistogramLogWriter|wasm)$/ },
 ];
 
-/** Stands in for a part: classes without members, so that a use of one fails where it happens. */
-const EMPTY_PART = 'module.exports = new Proxy(class {}, { get: () => class {} });';
+/** Replaces an unused module: every export is an empty class, so that a use fails at the place of the use. */
+const EMPTY_MODULE = 'module.exports = new Proxy(class {}, { get: () => class {} });';
 
-const emptyParts = {
-  name: 'empty-parts',
+const emptyModules = {
+  name: 'empty-modules',
   setup(build) {
-    for (const { library, parts } of unusedParts) {
+    for (const { library, modules } of unusedModules) {
       const folder = path.join(root, 'node_modules', library) + path.sep;
-      build.onResolve({ filter: parts }, ({ path: name, importer }) =>
-        importer.startsWith(folder) ? { path: name, namespace: 'empty-part' } : undefined,
+      build.onResolve({ filter: modules }, ({ path: name, importer }) =>
+        importer.startsWith(folder) ? { path: name, namespace: 'empty-module' } : undefined,
       );
     }
-    build.onLoad({ filter: /.*/, namespace: 'empty-part' }, () => ({ contents: EMPTY_PART }));
+    build.onLoad({ filter: /.*/, namespace: 'empty-module' }, () => ({ contents: EMPTY_MODULE }));
   },
 };
 
@@ -68,8 +69,8 @@
   platform: 'node',
   target: 'node20',
   external: Object.keys(peerDependencies).filter((name) => name !== 'pino'),
-  plugins: [workspaceSources, emptyParts],
-  // Names stay as they are: stack traces are read by people.
+  plugins: [workspaceSources, emptyModules],
+  // Identifiers are not minified, so that stack traces stay readable.
   minifyWhitespace: true,
   minifySyntax: true,
   legalComments: 'external',
--- a/scripts/ensure-setup.mjs
+++ b/scripts/ensure-setup.mjs
@@ -1,6 +1,6 @@
 /**
- * Installs and builds what is missing, so that `npm start` and `npm test` work on a fresh clone.
- * Installs from the lock file only when it changed since the last install; the build is incremental.
+ * Installs dependencies and builds the packages, so that `npm start` and `npm test` work on a fresh clone.
+ * Installs only when the lock file changed since the last install; the build is incremental.
  */
 import { spawnSync } from 'node:child_process';
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
--- a/scripts/matrix.mjs
+++ b/scripts/matrix.mjs
@@ -1,9 +1,9 @@
 /**
- * Runs the fault matrix and prints a row a cell. A cell is proved when a test whose name begins with
- * its id passed in this run, red when one failed, and not proved when none ran.
+ * Runs the tests of the fault matrix and prints one row for each cell. A cell is proved when a test whose
+ * name begins with the cell's id passed in this run, red when one failed, and not proved when none ran.
  *
- * --json   prints {"cells", "proved", "red", "notProved"}, each a list of ids but "cells", all rows
- * --write  writes docs/FAULT-MATRIX.md from this run
+ * --json   prints {"cells", "proved", "red", "notProved"}: "cells" lists all rows, the others list ids
+ * --write  writes docs/FAULT-MATRIX.md with the results of this run
  */
 import { run } from 'node:test';
 import { readdirSync, writeFileSync } from 'node:fs';
@@ -27,7 +27,7 @@
     .sort();
 }
 
-/** Result by cell: a failed test of a cell outweighs one that passed. */
+/** Results by cell id; a cell with a failed test is red even if other tests of it passed. */
 async function runCells(files) {
   const results = new Map();
   const failures = [];
@@ -78,8 +78,7 @@
 const listIds = (result) => rows.filter((row) => row.result === result).map(({ id }) => id);
 
 if (options.has('--write')) {
-  // A tool of the workspace, which this script is part of.
-
+  // Loaded only for --write, the one option that formats a page.
   const prettier = await import('prettier');
   const config = await prettier.resolveConfig(page);
   const text = await prettier.format(formatPage(rows), { ...config, filepath: page });
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,6 +1,6 @@
 /**
- * Runs every compiled test file under node's runner and compares failures with KNOWN-RED.txt.
- * Arguments narrow the run to files whose path contains one of them.
+ * Runs the compiled test files with Node's test runner. Failures listed in KNOWN-RED.txt are printed
+ * but don't fail the run. Arguments restrict the run to files whose path contains all of them.
  */
 import { run } from 'node:test';
 import { spec as SpecReporter } from 'node:test/reporters';
@@ -9,9 +9,9 @@
 import path from 'node:path';
 
 const root = path.dirname(path.dirname(fileURLToPath(import.meta.url)));
-/** Files at once; several start processes of their own, so this stays below the core count. */
+/** Below the number of cores, since several test files start processes of their own. */
 const CONCURRENT_FILES = 4;
-/** No test file may hang the run; milliseconds. */
+/** Ends a test file that hangs, so that the run finishes. */
 const FILE_TIMEOUT_MS = 180_000;
 
 function listWorkspaces() {
@@ -37,7 +37,7 @@
   return chosen.sort();
 }
 
-/** Each line: test name | command and seed | what is seen | cause | issue. */
+/** Format of a line: test name | command and seed | observed failure | cause | issue. */
 function readKnownRed() {
   const file = path.join(root, 'KNOWN-RED.txt');
   if (!existsSync(file)) return [];
