--- a/soak/src/__tests__/run.test.ts
+++ b/soak/src/__tests__/run.test.ts
@@ -7,9 +7,9 @@
 const SEED = 20_261_203;
 
 describe('a short soak', () => {
-  it('keeps every promise under a few seconds of faults', async () => {
-    // Routers are paused, stopped and killed, targets crash and leave, links are cut, the store turns
-    // callers away, and configurations change meanwhile; callers and targets compare notes at the end.
+  it('violates no guarantee during a few seconds of faults', async () => {
+    // Routers are paused, stopped and killed, targets crash and leave, links are cut, the store refuses
+    // calls, and configurations change. The records of callers and targets are compared at the end.
     const result = await Runs.runSoak({ seed: SEED, seconds: 6, routers: 2, callers: 4 });
     expect(result.violations).toEqual([]);
     expect(result.answered).toBeGreaterThan(0);
--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -1,18 +1,18 @@
-/** Callers: streams, orders and reads over kept connections, and questions about the configuration. */
+/** Simulates callers that send streams, orders and reads over keep-alive connections, and configuration probes. */
 import * as Standins from '@sequoiarill/standins';
 import * as Undici from 'undici';
 
 import * as Configurations from './configuration';
-import type { CallerView, Ledger, SentRequest } from './ledger';
+import type { CallerResult, RequestLog, SentRequest } from './requestLog';
 import type { Random } from './random';
-import type { RouterPlace } from './routers';
+import type { ManagedRouter } from './routers';
 
 export interface CallersOptions {
-  readonly routers: readonly RouterPlace[];
-  readonly ledger: Ledger;
+  readonly routers: readonly ManagedRouter[];
+  readonly requestLog: RequestLog;
   readonly random: Random;
   readonly eventCount: number;
-  /** The newest version and the one before, with the moments of their writes. */
+  /** All configuration versions with the times of their writes, newest first. */
   readonly listVersions: () => readonly WrittenVersion[];
 }
 
@@ -21,13 +21,13 @@
   readonly writtenAtMs: number;
 }
 
-const LIMIT_MS = 8_000;
-const PROBE_LIMIT_MS = 1_000;
-const PROBE_PAUSE_MS = 120;
-const PAUSE_MS = [5, 120] as const;
-/** Callers that leave in the middle of their answer. */
-const LEAVE_SHARE = 0.05;
-const LEAVE_MS = [20, 400] as const;
+const TIMEOUT_MS = 8_000;
+const PROBE_TIMEOUT_MS = 1_000;
+const PROBE_INTERVAL_MS = 120;
+const REQUEST_PAUSE_MS = [5, 120] as const;
+/** Share of the requests whose caller disconnects before the end of the answer. */
+const ABANDON_SHARE = 0.05;
+const ABANDON_AFTER_MS = [20, 400] as const;
 
 async function waitMs(ms: number): Promise<void> {
   await new Promise((resolve) => {
@@ -35,46 +35,46 @@
   });
 }
 
-/** Reads until the end, a break or the abort; what arrived counts. */
-async function readAnswer(answer: Undici.Dispatcher.ResponseData): Promise<CallerView> {
+/** Reads until the end, a broken connection or the abort, and returns what arrived. */
+async function readAnswer(answer: Undici.Dispatcher.ResponseData): Promise<CallerResult> {
   const chunks: Buffer[] = [];
-  let isWhole = true;
+  let isComplete = true;
   try {
     for await (const chunk of answer.body as AsyncIterable<Buffer>) chunks.push(chunk);
   } catch {
-    isWhole = false;
+    isComplete = false;
   }
-  // An answer without framing ends with its connection, and its end says nothing of its rest.
+  // Without framing the body ends where the connection closes, and a truncated body looks complete.
   const { 'content-length': length, 'transfer-encoding': coding } = answer.headers;
   const isFramed = length !== undefined || coding !== undefined;
   return {
     kind: 'answer',
     status: answer.statusCode,
     text: Buffer.concat(chunks).toString('utf8'),
-    isWhole: isWhole && isFramed,
+    isComplete: isComplete && isFramed,
     isSigned: Standins.hasSignature(answer.headers),
   };
 }
 
 export function createCallers(options: CallersOptions) {
-  const { routers, ledger, random, eventCount } = options;
+  const { routers, requestLog, random, eventCount } = options;
   const agent = new Undici.Agent({ connections: 16, pipelining: 1 });
-  let count = 0;
+  let requestCount = 0;
 
-  function getRouter(index: number): RouterPlace {
+  function getRouter(index: number): ManagedRouter {
     const router = routers[index];
-    if (router === undefined) throw new Error(`there is no router ${index}`);
+    if (router === undefined) throw new Error(`router ${index} does not exist`);
     return router;
   }
 
-  async function sendRequest(request: SentRequest, leaveMs: number): Promise<CallerView> {
+  async function sendRequest(request: SentRequest, timeoutMs: number): Promise<CallerResult> {
     const { id, kind, body, fromEvent } = request;
     const path = { stream: '/advice/x', order: '/orders/x', read: '/reads/x' }[kind];
-    // A rest has the prompt of its stream.
+    // A continuation has the id `ID.rest` and the prompt of the original stream.
     const [prompt = id] = id.split('.');
     const resumeAfter = fromEvent > 1 ? fromEvent - 1 : undefined;
     const stream = kind === 'stream' ? Standins.createStreamHeaders(prompt, resumeAfter) : {};
-    ledger.requests.set(id, request);
+    requestLog.requests.set(id, request);
     try {
       const answer = await Undici.request(
         `http://${getRouter(request.router).getAddress()}${path}`,
@@ -82,12 +82,12 @@
           method: 'POST',
           dispatcher: agent,
           body,
-          signal: AbortSignal.timeout(leaveMs),
+          signal: AbortSignal.timeout(timeoutMs),
           headers: {
             ...Standins.createCallerHeaders({
               requestId: id,
               apiKey: Configurations.CALLERS_KEY,
-              limitMs: LIMIT_MS,
+              limitMs: TIMEOUT_MS,
             }),
             ...stream,
           },
@@ -95,83 +95,95 @@
       );
       return await readAnswer(answer);
     } catch {
-      // Refused, reset, or out of time: nothing arrived that is an answer.
+      // The connection was refused or reset, or the request timed out before the headers arrived.
       return { kind: 'noAnswer' };
     }
   }
 
-  /** A stream that broke off is asked for once more, from its last whole event, at another router. */
-  function createRest(request: SentRequest, view: CallerView): SentRequest | undefined {
-    if (request.kind !== 'stream' || view.kind !== 'answer' || view.isWhole) return undefined;
-    if (request.id.includes('.')) return undefined;
-    const received = [...view.text.matchAll(/^id: (\d+)\ndata: .*\n\n/gm)].length;
-    const fromEvent = request.fromEvent + received;
+  /** Resumes a broken stream once, at another router, after the last event that arrived completely. */
+  function createContinuation(sent: SentRequest, result: CallerResult): SentRequest | undefined {
+    if (sent.kind !== 'stream' || result.kind !== 'answer' || result.isComplete) return undefined;
+    if (sent.id.includes('.')) return undefined;
+    const received = [...result.text.matchAll(/^id: (\d+)\ndata: .*\n\n/gm)].length;
+    const fromEvent = sent.fromEvent + received;
     if (fromEvent > eventCount || received === 0) return undefined;
-    const router = (request.router + 1) % routers.length;
-    return { ...request, id: `${request.id}.rest`, router, fromEvent };
+    const router = (sent.router + 1) % routers.length;
+    return { ...sent, id: `${sent.id}.rest`, router, fromEvent };
   }
 
-  async function runOne(): Promise<void> {
-    count += 1;
+  async function runNextRequest(): Promise<void> {
+    requestCount += 1;
     const kind = random.pickOne(['stream', 'stream', 'order', 'order', 'read'] as const);
     const router = random.pickBetween(0, routers.length - 1);
-    const id = `r${count}`;
+    const id = `r${requestCount}`;
     const request = { id, kind, router, body: `body of ${id}`, fromEvent: 1 };
-    const leaves = random.next() < LEAVE_SHARE;
-    const view = await sendRequest(request, leaves ? random.pickBetween(...LEAVE_MS) : LIMIT_MS);
-    ledger.views.set(id, view);
-    const rest = leaves ? undefined : createRest(request, view);
-    if (rest !== undefined) ledger.views.set(rest.id, await sendRequest(rest, LIMIT_MS));
+    const isAbandoned = random.next() < ABANDON_SHARE;
+    const result = await sendRequest(
+      request,
+      isAbandoned ? random.pickBetween(...ABANDON_AFTER_MS) : TIMEOUT_MS,
+    );
+    requestLog.results.set(id, result);
+    const next = isAbandoned ? undefined : createContinuation(request, result);
+    if (next !== undefined) requestLog.results.set(next.id, await sendRequest(next, TIMEOUT_MS));
   }
 
   async function sendProbe(
     router: number,
-    asked: WrittenVersion,
+    expected: WrittenVersion,
     isNewest: boolean,
   ): Promise<void> {
-    count += 1;
-    const { version, writtenAtMs } = asked;
-    const place = getRouter(router);
-    const [life, atMs] = [place.getLife(), performance.now()];
+    requestCount += 1;
+    const { version, writtenAtMs } = expected;
+    const managedRouter = getRouter(router);
+    const [incarnation, atMs] = [managedRouter.getIncarnation(), performance.now()];
     try {
       const answer = await Undici.request(
-        `http://${place.getAddress()}${Configurations.formatVersionPath(version)}x`,
+        `http://${managedRouter.getAddress()}${Configurations.formatVersionPath(version)}x`,
         {
           method: 'GET',
           dispatcher: agent,
-          signal: AbortSignal.timeout(PROBE_LIMIT_MS),
+          signal: AbortSignal.timeout(PROBE_TIMEOUT_MS),
           headers: Standins.createCallerHeaders({
-            requestId: `probe-${count}`,
+            requestId: `probe-${requestCount}`,
             apiKey: Configurations.formatVersionKey(version),
-            limitMs: PROBE_LIMIT_MS,
+            limitMs: PROBE_TIMEOUT_MS,
           }),
         },
       );
       await answer.body.dump();
-      // A newer version may have been written while it was asked.
-      const isStill = isNewest && options.listVersions()[0]?.version === version;
+      // A newer version may have been written during the request.
+      const isStillNewest = isNewest && options.listVersions()[0]?.version === version;
       const status = answer.statusCode;
-      if (place.getLife() !== life) return;
-      ledger.probes.push({ router, life, atMs, version, writtenAtMs, isNewest: isStill, status });
+      if (managedRouter.getIncarnation() !== incarnation) return;
+      requestLog.probes.push({
+        router,
+        incarnation,
+        atMs,
+        version,
+        writtenAtMs,
+        isNewest: isStillNewest,
+        status,
+      });
     } catch {
-      // The router is down or cut off, which tells nothing of its configuration.
+      // The router is down or unreachable, so the probe gives no information on its configuration.
     }
   }
 
   return {
-    /** One caller: request after request until the signal is aborted. */
+    /** Runs one caller, which sends requests one at a time until the signal is aborted. */
     async runCaller(signal: AbortSignal): Promise<void> {
       while (!signal.aborted) {
-        await runOne();
-        await waitMs(random.pickBetween(...PAUSE_MS));
+        await runNextRequest();
+        await waitMs(random.pickBetween(...REQUEST_PAUSE_MS));
       }
     },
+    /** Probes the two newest configuration versions at a router until the signal is aborted. */
     async runProber(router: number, signal: AbortSignal): Promise<void> {
       while (!signal.aborted) {
-        const [newest, before] = options.listVersions();
+        const [newest, previous] = options.listVersions();
         if (newest !== undefined) await sendProbe(router, newest, true);
-        if (before !== undefined) await sendProbe(router, before, false);
-        await waitMs(PROBE_PAUSE_MS);
+        if (previous !== undefined) await sendProbe(router, previous, false);
+        await waitMs(PROBE_INTERVAL_MS);
       }
     },
     close: () => agent.destroy(),
--- a/soak/src/checks.ts
+++ b/soak/src/checks.ts
@@ -1,12 +1,12 @@
-/** Holds what callers and targets saw against what is promised; pure. */
+/** Checks what callers and targets recorded against the guarantees of the system; pure functions. */
 import * as Standins from '@sequoiarill/standins';
 import type { TargetRun } from '@sequoiarill/standins';
 
-import * as Ledgers from './ledger';
-import type { CallerView, Ledger, Probe, SentRequest } from './ledger';
+import * as RequestLogs from './requestLog';
+import type { CallerResult, RequestLog, Probe, SentRequest } from './requestLog';
 
-export interface LifeRuns {
-  /** Identity of one life of a target. */
+export interface IncarnationRuns {
+  /** Id of one incarnation of a target. */
   readonly target: string;
   readonly runs: readonly TargetRun[];
 }
@@ -17,84 +17,94 @@
 }
 
 export interface Evidence {
-  readonly ledger: Ledger;
-  readonly lives: readonly LifeRuns[];
-  /** Events of a whole stream. */
+  readonly requestLog: RequestLog;
+  readonly incarnations: readonly IncarnationRuns[];
+  /** Number of events in a complete stream. */
   readonly eventCount: number;
   readonly organisation: string;
 }
 
-/** A change must be in force everywhere within this, milliseconds. */
-const IN_FORCE_MS = 2_000;
-/** New work may reach a leaving target for this long, milliseconds. */
-const LEAVING_MS = 3_000;
+/** Time within which a configuration change must be in force at every router. */
+const IN_FORCE_LIMIT_MS = 2_000;
+/** Time for which new requests may still reach a target after it announced that it leaves. */
+const LEAVING_LIMIT_MS = 3_000;
 const OK = 200;
 const NOT_FOUND = 404;
 const UNAUTHORISED = 401;
-/** Statuses that promise that a request was not run and never will be. */
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that guarantee that the request was not run and never will be. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-export function formatAnswer({ id, kind, body, fromEvent }: SentRequest, count: number): string {
+export function formatExpectedAnswer(
+  { id, kind, body, fromEvent }: SentRequest,
+  count: number,
+): string {
   if (kind === 'stream') return Standins.formatEvents(id, fromEvent, count);
   return `${id} got ${body}`;
 }
 
 function* checkAnswer(
   request: SentRequest,
-  view: Extract<CallerView, { kind: 'answer' }>,
+  result: Extract<CallerResult, { kind: 'answer' }>,
   count: number,
 ): Generator<Violation> {
   const { id, kind } = request;
-  const expected = formatAnswer(request, count);
-  if (view.status !== OK) return;
-  if (!view.isSigned) yield { rule: 'whole', text: `${id}: an answer without a signature` };
-  const isExact = view.isWhole ? view.text === expected : expected.startsWith(view.text);
+  const expected = formatExpectedAnswer(request, count);
+  if (result.status !== OK) return;
+  if (!result.isSigned) yield { rule: 'whole', text: `${id}: an answer without a signature` };
+  const isExact = result.isComplete ? result.text === expected : expected.startsWith(result.text);
   if (isExact) return;
-  // Half an event may have arrived before a break.
+  // A broken stream may end within an event, so any prefix of the expected text is right.
   const rule = kind === 'stream' ? 'events' : 'whole';
-  const seen = JSON.stringify(view.text.slice(-120));
-  yield { rule, text: `${id}: ${view.isWhole ? 'whole' : 'broken'} answer ends with ${seen}` };
+  const seen = JSON.stringify(result.text.slice(-120));
+  yield {
+    rule,
+    text: `${id}: ${result.isComplete ? 'complete' : 'broken'} answer ends with ${seen}`,
+  };
 }
 
-/** How often each request was begun, over all lives of all targets. */
-function countRuns(lives: readonly LifeRuns[]): ReadonlyMap<string, number> {
+/** Counts how often each request was started, over all incarnations of all targets. */
+function countRuns(incarnations: readonly IncarnationRuns[]): ReadonlyMap<string, number> {
   const runsById = new Map<string, number>();
-  for (const { requestId } of lives.flatMap(({ runs }) => runs)) {
+  for (const { requestId } of incarnations.flatMap(({ runs }) => runs)) {
     runsById.set(requestId, (runsById.get(requestId) ?? 0) + 1);
   }
   return runsById;
 }
 
-function* checkOrder(id: string, view: CallerView | undefined, runs: number): Generator<Violation> {
+function* checkOrder(
+  id: string,
+  result: CallerResult | undefined,
+  runs: number,
+): Generator<Violation> {
   if (runs > 1) yield { rule: 'atMostOnce', text: `${id}: an order ran ${runs} times` };
-  const isPromise = view?.kind === 'answer' && PROMISES.has(view.status);
-  if (isPromise && runs > 0) {
-    yield { rule: 'notRun', text: `${id}: refused with ${view.status}, and it ran` };
+  const isPromisedNotRun = result?.kind === 'answer' && NOT_RUN_STATUSES.has(result.status);
+  if (isPromisedNotRun && runs > 0) {
+    yield { rule: 'notRun', text: `${id}: refused with ${result.status}, and it ran` };
   }
 }
 
-function* checkRequests({ ledger, lives, eventCount }: Evidence): Generator<Violation> {
-  const runsById = countRuns(lives);
-  for (const [id, request] of ledger.requests) {
-    const view = ledger.views.get(id);
-    if (view?.kind === 'answer') yield* checkAnswer(request, view, eventCount);
-    if (request.kind === 'order') yield* checkOrder(id, view, runsById.get(id) ?? 0);
+function* checkRequests({ requestLog, incarnations, eventCount }: Evidence): Generator<Violation> {
+  const runsById = countRuns(incarnations);
+  for (const [id, request] of requestLog.requests) {
+    const result = requestLog.results.get(id);
+    if (result?.kind === 'answer') yield* checkAnswer(request, result, eventCount);
+    if (request.kind === 'order') yield* checkOrder(id, result, runsById.get(id) ?? 0);
   }
 }
 
-function* checkRuns({ ledger, lives, organisation }: Evidence): Generator<Violation> {
-  for (const { requestId, path, organisation: owner, hasApiKey } of lives.flatMap(
+function* checkRuns({ requestLog, incarnations, organisation }: Evidence): Generator<Violation> {
+  for (const { requestId, path, organisation: runOrganisation, hasApiKey } of incarnations.flatMap(
     ({ runs }) => runs,
   )) {
     const isProbe = requestId.startsWith('probe-');
-    if (!isProbe && !ledger.requests.has(requestId)) {
-      yield { rule: 'unasked', text: `${requestId}: nobody sent it (${path})` };
+    if (!isProbe && !requestLog.requests.has(requestId)) {
+      yield { rule: 'unasked', text: `${requestId}: no caller sent it (${path})` };
     }
     if (hasApiKey) {
       yield { rule: 'unasked', text: `${requestId}: the API key was passed on` };
     }
-    if (owner !== organisation) {
-      yield { rule: 'unasked', text: `${requestId}: ran for ${owner}` };
+    if (runOrganisation !== organisation) {
+      yield { rule: 'unasked', text: `${requestId}: ran for ${runOrganisation}` };
     }
   }
 }
@@ -103,42 +113,46 @@
   return status === NOT_FOUND || status === UNAUTHORISED;
 }
 
-/** In force in time where nothing disturbed the router, and never back within one life. */
-function* checkConfiguration({ ledger }: Evidence): Generator<Violation> {
+/**
+ * Checks that each version is in force in time at routers without a recent fault, and that no incarnation
+ * of a router returns to an older version.
+ */
+function* checkConfiguration({ requestLog }: Evidence): Generator<Violation> {
   const newestServed = new Map<string, number>();
-  for (const probe of ledger.probes) {
-    const { router, life, version, atMs, writtenAtMs } = probe;
-    const key = `${router} ${life}`;
-    const served = newestServed.get(key) ?? 0;
-    const name = `router ${router}, life ${life}, version ${version} at ${Math.round(atMs)} ms`;
+  for (const probe of requestLog.probes) {
+    const { router, incarnation, version, atMs, writtenAtMs } = probe;
+    const key = `${router} ${incarnation}`;
+    const newest = newestServed.get(key) ?? 0;
+    const name = `router ${router}, incarnation ${incarnation}, version ${version} at ${Math.round(atMs)} ms`;
     if (probe.status === OK) {
-      if (version < served) yield { rule: 'reverts', text: `${name}: served after ${served}` };
-      newestServed.set(key, Math.max(served, version));
+      if (version < newest) yield { rule: 'reverts', text: `${name}: served after ${newest}` };
+      newestServed.set(key, Math.max(newest, version));
     } else if (isRefused(probe) && probe.isNewest) {
-      if (version <= served) {
+      if (version <= newest) {
         yield { rule: 'reverts', text: `${name}: refused after it was served` };
       }
-      const calmSinceMs = Ledgers.computeCalmSince(ledger, atMs, router);
-      if (atMs > Math.max(writtenAtMs, calmSinceMs) + IN_FORCE_MS) {
+      const undisturbedSinceMs = RequestLogs.computeUndisturbedSince(requestLog, atMs, router);
+      if (atMs > Math.max(writtenAtMs, undisturbedSinceMs) + IN_FORCE_LIMIT_MS) {
         yield {
           rule: 'inForce',
-          text: `${name}: not in force ${Math.round(atMs - writtenAtMs)} ms`,
+          text: `${name}: not in force ${Math.round(atMs - writtenAtMs)} ms after its write`,
         };
       }
     }
   }
 }
 
-function* checkLeaving({ ledger, lives }: Evidence): Generator<Violation> {
-  for (const { target, writtenAtMs } of ledger.leavings) {
-    const runs = lives.find((life) => life.target === target)?.runs ?? [];
+/** Checks that a leaving target receives no new requests after the permitted time. */
+function* checkLeaving({ requestLog, incarnations }: Evidence): Generator<Violation> {
+  for (const { target, writtenAtMs } of requestLog.leavings) {
+    const runs = incarnations.find((incarnation) => incarnation.target === target)?.runs ?? [];
     for (const { requestId, startedAtMs } of runs) {
       const afterMs = startedAtMs - writtenAtMs;
-      const calmSinceMs = Ledgers.computeCalmSince(ledger, startedAtMs);
-      if (startedAtMs > Math.max(writtenAtMs, calmSinceMs) + LEAVING_MS) {
+      const undisturbedSinceMs = RequestLogs.computeUndisturbedSince(requestLog, startedAtMs);
+      if (startedAtMs > Math.max(writtenAtMs, undisturbedSinceMs) + LEAVING_LIMIT_MS) {
         yield {
           rule: 'leaving',
-          text: `${requestId}: ran at ${target} ${Math.round(afterMs)} ms on`,
+          text: `${requestId}: ran at ${target} ${Math.round(afterMs)} ms after the target announced that it leaves`,
         };
       }
     }
--- a/soak/src/configuration.ts
+++ b/soak/src/configuration.ts
@@ -1,7 +1,7 @@
-/** Operators' configurations: each version has a route and an API key that no other version has. */
+/** Creates configurations in which each version has a route and an API key of its own, so that probes can tell which is in force. */
 import * as Standins from '@sequoiarill/standins';
 
-/** Valid in every version. */
+/** API key that is valid in every version. */
 export const CALLERS_KEY = 'key-of-callers';
 
 export function formatVersionPath(version: number): string {
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,4 +1,4 @@
-/** Command line of the soak: plays seeds one after the other, and keeps what a failed one left. */
+/** Command line of the soak test: runs seeds one after the other and stores the records of failed runs. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 
@@ -19,22 +19,25 @@
 const CALLERS_PER_PROCESS = 4;
 
 function writeFailure(folder: string, seed: number, result: SoakResult): string {
-  const place = path.join(folder, `seed-${seed}`);
-  mkdirSync(place, { recursive: true });
+  const failureFolder = path.join(folder, `seed-${seed}`);
+  mkdirSync(failureFolder, { recursive: true });
   const { lines, ...rest } = result;
-  writeFileSync(path.join(place, 'result.json'), `${JSON.stringify({ seed, ...rest }, null, 2)}\n`);
   writeFileSync(
-    path.join(place, 'routers.log'),
+    path.join(failureFolder, 'result.json'),
+    `${JSON.stringify({ seed, ...rest }, null, 2)}\n`,
+  );
+  writeFileSync(
+    path.join(failureFolder, 'routers.log'),
     lines.map((line) => `${JSON.stringify(line)}\n`).join(''),
   );
-  return place;
+  return failureFolder;
 }
 
-async function runSeeds(given: Arguments): Promise<void> {
-  const routers = Number(given.processes);
-  const seconds = Number(given.minutes) * SECONDS_PER_MINUTE;
-  const first = Number(given.seed);
-  for (let seed = first; seed < first + Number(given.runs); seed += 1) {
+async function runSeeds(args: Arguments): Promise<void> {
+  const routers = Number(args.processes);
+  const seconds = Number(args.minutes) * SECONDS_PER_MINUTE;
+  const first = Number(args.seed);
+  for (let seed = first; seed < first + Number(args.runs); seed += 1) {
     const callers = routers * CALLERS_PER_PROCESS;
     const result = await Runs.runSoak({ seed, seconds, routers, callers });
     const { violations, schedule, requests, answered, probes } = result;
@@ -44,7 +47,7 @@
       violations.slice(0, 10).forEach(({ rule, text }) => {
         process.stdout.write(`  ${rule}: ${text}\n`);
       });
-      process.stdout.write(`  kept in ${writeFailure(given.folder, seed, result)}\n`);
+      process.stdout.write(`  records written to ${writeFailure(args.folder, seed, result)}\n`);
       process.exitCode = 1;
     }
   }
@@ -54,15 +57,17 @@
 process.once('SIGTERM', () => process.exit(1));
 
 const program = new Command('soak')
-  .description('Plays faults against routers that run as processes, and checks the promises.')
+  .description(
+    'Injects faults into router processes under load and checks the guarantees of the system.',
+  )
   .option('--seed <number>', 'first seed', '1')
-  .option('--runs <number>', 'seeds to play, one after the other', '1')
-  .option('--minutes <number>', 'time with faults for each seed', '0.5')
-  .option('--processes <number>', 'routers', '3')
-  .option('--folder <path>', 'where failed runs are kept', 'soak-failures')
+  .option('--runs <number>', 'number of seeds to run, one after the other', '1')
+  .option('--minutes <number>', 'minutes with faults for each seed', '0.5')
+  .option('--processes <number>', 'number of router processes', '3')
+  .option('--folder <path>', 'folder for the records of failed runs', 'soak-failures')
   .action(runSeeds);
 
 program.parseAsync().catch((error: unknown) => {
-  process.stderr.write(`the soak can't run: ${(error as Error).message}\n`);
+  process.stderr.write(`the soak failed: ${(error as Error).message}\n`);
   process.exitCode = 1;
 });
--- a/soak/src/random.ts
+++ b/soak/src/random.ts
@@ -1,10 +1,11 @@
-/** Random choices that follow from a seed. */
+/** Deterministic random choices from a seed. */
 import * as UniformFloat from 'pure-rand/distribution/uniformFloat64';
 import * as PureRand from 'pure-rand/generator/xoroshiro128plus';
 
 export interface Random {
-  /** From 0 up to 1, without 1. */
+  /** Returns a number from 0 (included) to 1 (excluded). */
   readonly next: () => number;
+  /** Returns an integer between the two bounds, both included. */
   readonly pickBetween: (least: number, most: number) => number;
   readonly pickOne: <Item>(items: readonly Item[]) => Item;
 }
@@ -17,7 +18,7 @@
     pickBetween: (least, most) => least + Math.floor(next() * (most - least + 1)),
     pickOne<Item>(items: readonly Item[]): Item {
       const item = items[Math.floor(next() * items.length)];
-      if (item === undefined) throw new Error('there is nothing to pick from');
+      if (item === undefined) throw new Error('cannot pick from an empty list');
       return item;
     },
   };
--- a/soak/src/requestLog.ts
+++ b/soak/src/requestLog.ts
@@ -1,4 +1,7 @@
-/** What callers sent and saw, and what operators changed; times are milliseconds of one clock. */
+/**
+ * Records requests, their results as the callers saw them, and changes by operators. All times come from
+ * the same clock, in milliseconds.
+ */
 
 export type RequestKind = 'stream' | 'order' | 'read';
 
@@ -7,34 +10,34 @@
   readonly kind: RequestKind;
   readonly router: number;
   readonly body: string;
-  /** Where the caller came back for the rest of a stream: the first event it asked for. */
+  /** First event requested: 1, or a later one where the caller resumes a broken stream. */
   readonly fromEvent: number;
 }
 
-export type CallerView =
-  /** `text` is what arrived, whole or not. */
+export type CallerResult =
+  /** `text` is what arrived, complete or not. */
   | {
       readonly kind: 'answer';
       readonly status: number;
       readonly text: string;
-      /** It came to the end that its framing says. */
-      readonly isWhole: boolean;
-      /** The signature of a target was on it. */
+      /** Whether the body arrived up to the end given by its framing. */
+      readonly isComplete: boolean;
+      /** Whether the headers carry the signature of a target. */
       readonly isSigned: boolean;
     }
-  /** Nothing that is an answer arrived. */
+  /** No response arrived. */
   | { readonly kind: 'noAnswer' };
 
-/** A question about which configuration is in force. */
+/** A request that tests whether a configuration version is in force at a router. */
 export interface Probe {
   readonly router: number;
-  /** Counts the lives of the router's process. */
-  readonly life: number;
+  /** Incarnation of the router's process, counted from 1. */
+  readonly incarnation: number;
   readonly atMs: number;
   readonly version: number;
-  /** When the store acknowledged that version. */
+  /** Time at which the store acknowledged the write of that version. */
   readonly writtenAtMs: number;
-  /** The version is the newest that was written. */
+  /** Whether the version was the newest one until the end of the probe. */
   readonly isNewest: boolean;
   readonly status: number;
 }
@@ -44,38 +47,45 @@
   readonly writtenAtMs: number;
 }
 
-/** A time in which a router or its way to the store was disturbed. */
+/** A period in which a fault affected a router or its connection to the store. */
 export interface Disturbance {
   readonly router: number;
   readonly fromMs: number;
   untilMs: number;
 }
 
-export interface Ledger {
+export interface RequestLog {
   readonly requests: Map<string, SentRequest>;
-  readonly views: Map<string, CallerView>;
+  readonly results: Map<string, CallerResult>;
   readonly probes: Probe[];
   readonly leavings: Leaving[];
   readonly disturbances: Disturbance[];
 }
 
-export function createLedger(): Ledger {
+export function createRequestLog(): RequestLog {
   return {
     requests: new Map(),
-    views: new Map(),
+    results: new Map(),
     probes: [],
     leavings: [],
     disturbances: [],
   };
 }
 
-/** After the end of a disturbance a router is given this long before bounds hold for it. */
-const SETTLE_MS = 4_000;
+/** Time that a router has to recover after a fault before the time limits apply to it again. */
+const RECOVERY_MS = 4_000;
 
-/** Since when bounds hold, at a moment, for the router or for all of them; infinite while they do not. */
-export function computeCalmSince({ disturbances }: Ledger, atMs: number, router?: number): number {
+/**
+ * Computes since when the time limits apply at the given time, to one router or to all of them. Infinite
+ * while a fault lasts.
+ */
+export function computeUndisturbedSince(
+  { disturbances }: RequestLog,
+  atMs: number,
+  router?: number,
+): number {
   const ends = disturbances
     .filter((one) => one.fromMs <= atMs && (router === undefined || one.router === router))
-    .map((one) => one.untilMs + SETTLE_MS);
+    .map((one) => one.untilMs + RECOVERY_MS);
   return Math.max(Number.NEGATIVE_INFINITY, ...ends);
 }
--- a/soak/src/routers.ts
+++ b/soak/src/routers.ts
@@ -1,4 +1,4 @@
-/** Routers as processes, each with a link of its own to the store. */
+/** Runs routers as processes, each behind its own link to the store. */
 import * as Net from 'node:net';
 
 import * as Standins from '@sequoiarill/standins';
@@ -6,22 +6,22 @@
 import * as Testing from '@sequoiarill/testing';
 import type { LogLine, StartedRouter } from '@sequoiarill/testing';
 
-export interface RouterPlace {
+export interface ManagedRouter {
   readonly storeLink: LinkStandin;
   readonly getAddress: () => string;
-  /** Counts the lives of the process, from 1. */
-  readonly getLife: () => number;
+  /** Returns the number of the current process, counted from 1. */
+  readonly getIncarnation: () => number;
   readonly pause: (forMs: number) => Promise<void>;
   readonly reload: () => void;
-  /** Ends the process by the signal, waits for its end and starts it again. */
+  /** Sends the signal to the process, waits for its exit and starts a new process. */
   readonly restart: (signal: 'SIGTERM' | 'SIGKILL') => Promise<void>;
-  readonly listLines: () => readonly LogLine[];
-  /** Exit codes of processes that were not killed. */
-  readonly listExits: () => readonly (number | null)[];
+  readonly listLogLines: () => readonly LogLine[];
+  /** Lists the exit codes of the processes that were ended with SIGTERM. */
+  readonly listExitCodes: () => readonly (number | null)[];
   readonly stop: () => Promise<void>;
 }
 
-export interface RouterPlaceOptions {
+export interface RouterOptions {
   readonly name: string;
   readonly zone: string;
   readonly storeAddress: string;
@@ -29,11 +29,11 @@
   readonly seeds: readonly string[];
 }
 
-const DAEMON = require.resolve('@sequoiarill/platform-adapter/lib/main.js');
-const GRACE_SECONDS = 4;
-const MAX_STARTS = 20;
-/** Time after which the platform starts a process again, milliseconds. */
-const RESTART_MS = 300;
+const ROUTER_MAIN = require.resolve('@sequoiarill/platform-adapter/lib/main.js');
+const DRAIN_GRACE_SECONDS = 4;
+const MAX_START_ATTEMPTS = 20;
+/** Delay after which the platform restarts a process that has exited. */
+const RESTART_DELAY_MS = 300;
 
 async function waitMs(ms: number): Promise<void> {
   await new Promise((resolve) => {
@@ -41,9 +41,9 @@
   });
 }
 
-/** Below the ports that the operating system gives out by itself. */
+/** Below the operating system's range of ephemeral ports. */
 const FIRST_PORT = 10_000;
-const PORTS = 20_000;
+const PORT_COUNT = 20_000;
 const PORTS_PER_SOAK = 64;
 
 async function isFree(port: number): Promise<boolean> {
@@ -59,21 +59,21 @@
 }
 
 /**
- * Addresses for the routers' peers, which must stay theirs while a router is down: a port that the
- * operating system gives out goes to whoever asks next, and that may be a target of another soak, which
- * then gets the peers' calls.
+ * Reserves fixed peer addresses for the routers, which must stay reserved while a router is down. An
+ * ephemeral port may be assigned to another process meanwhile, for example to a target of another soak,
+ * which would then receive the peers' calls.
  */
 export async function reserveAddresses(count: number): Promise<readonly string[]> {
-  const first = (process.pid * PORTS_PER_SOAK) % PORTS;
+  const first = (process.pid * PORTS_PER_SOAK) % PORT_COUNT;
   const addresses: string[] = [];
   for (let offset = 0; addresses.length < count; offset += 1) {
-    const port = FIRST_PORT + ((first + offset) % PORTS);
+    const port = FIRST_PORT + ((first + offset) % PORT_COUNT);
     if (await isFree(port)) addresses.push(`127.0.0.1:${port}`);
   }
   return addresses;
 }
 
-export async function startRouter(options: RouterPlaceOptions): Promise<RouterPlace> {
+export async function startRouter(options: RouterOptions): Promise<ManagedRouter> {
   const { name, zone, storeAddress, peerAddress, seeds } = options;
   const storeLink = Standins.createLinkStandin({ target: storeAddress });
   const { address: store } = await storeLink.start();
@@ -81,22 +81,22 @@
     `[process]\nname = ${name}\nzone = ${zone}\nregion = here`,
     `[adapter]\nstore = ${store}\ncallTimeoutMs = 400\nwatchWaitMs = 700`,
     `[directory]\nlisten = ${peerAddress}\nseeds = ${seeds.join(',')}`,
-    `[forwarding]\nlisten = 127.0.0.1:0\nreadinessListen = 127.0.0.1:0\ngraceSeconds = ${GRACE_SECONDS}`,
+    `[forwarding]\nlisten = 127.0.0.1:0\nreadinessListen = 127.0.0.1:0\ngraceSeconds = ${DRAIN_GRACE_SECONDS}`,
   ].join('\n\n');
-  const lives: StartedRouter[] = [];
-  const exits: (number | null)[] = [];
+  const incarnations: StartedRouter[] = [];
+  const exitCodes: (number | null)[] = [];
   let isStopped = false;
 
   function getCurrent(): StartedRouter {
-    const current = lives.at(-1);
-    if (current === undefined) throw new Error('the router has no process yet');
+    const current = incarnations.at(-1);
+    if (current === undefined) throw new Error('the router process has not been started');
     return current;
   }
 
-  /** False when the process ended before it took requests. */
+  /** Returns false if the process exited before it was ready. */
   async function startOnce(): Promise<boolean> {
-    const started = Testing.startUserRouter(DAEMON, settings);
-    lives.push(started);
+    const started = Testing.startUserRouter(ROUTER_MAIN, settings);
+    incarnations.push(started);
     return started.start.then(
       () => true,
       () => false,
@@ -104,30 +104,30 @@
   }
 
   /**
-   * A process that ends is started again, as the platform does. Failure without it: between two lives
-   * some connection of this machine takes the port for peers, the next life ends with one line that
-   * says so, and the router counts as one that does not recover.
+   * Starts a process, and again if it exits during its start, as the platform does. Another connection of
+   * this machine may take the peer port between two incarnations. The next process then exits with a log
+   * line about the port, and without a further start the router would fail the recovery check.
    */
-  async function startLife(): Promise<void> {
-    for (let start = 0; start < MAX_STARTS && !isStopped; start += 1) {
+  async function startIncarnation(): Promise<void> {
+    for (let start = 0; start < MAX_START_ATTEMPTS && !isStopped; start += 1) {
       if (await startOnce()) return;
-      await waitMs(RESTART_MS);
+      await waitMs(RESTART_DELAY_MS);
     }
   }
 
-  async function stopLife(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
+  async function stopIncarnation(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
     const current = getCurrent();
     current.process.kill('SIGCONT');
     current.process.kill(signal);
     const code = await current.exited;
-    if (signal === 'SIGTERM') exits.push(code);
+    if (signal === 'SIGTERM') exitCodes.push(code);
   }
 
-  await startLife();
+  await startIncarnation();
   return {
     storeLink,
     getAddress: () => getCurrent().address,
-    getLife: () => lives.length,
+    getIncarnation: () => incarnations.length,
     async pause(forMs) {
       const current = getCurrent();
       current.process.kill('SIGSTOP');
@@ -138,14 +138,14 @@
       getCurrent().process.kill('SIGHUP');
     },
     async restart(signal) {
-      await stopLife(signal);
-      if (!isStopped) await startLife();
+      await stopIncarnation(signal);
+      if (!isStopped) await startIncarnation();
     },
-    listLines: () => lives.flatMap(({ lines }) => lines),
-    listExits: () => exits,
+    listLogLines: () => incarnations.flatMap(({ lines }) => lines),
+    listExitCodes: () => exitCodes,
     async stop() {
       isStopped = true;
-      await stopLife('SIGTERM');
+      await stopIncarnation('SIGTERM');
       await storeLink.stop();
     },
   };
--- a/soak/src/run.ts
+++ b/soak/src/run.ts
@@ -1,4 +1,7 @@
-/** One soak: a world of stand-ins and routers, callers, faults by schedule, and the checks at its end. */
+/**
+ * Runs one soak: starts stand-ins and routers, sends requests, injects the faults of the schedule, and
+ * checks the records at the end.
+ */
 import * as Standins from '@sequoiarill/standins';
 import type { LinkStandin, StoreStandin } from '@sequoiarill/standins';
 import type { LogLine } from '@sequoiarill/testing';
@@ -8,15 +11,15 @@
 import * as Checks from './checks';
 import type { Violation } from './checks';
 import * as Configurations from './configuration';
-import * as Ledgers from './ledger';
-import type { Ledger } from './ledger';
+import * as RequestLogs from './requestLog';
+import type { RequestLog } from './requestLog';
 import * as Randoms from './random';
 import * as Routers from './routers';
-import type { RouterPlace } from './routers';
+import type { ManagedRouter } from './routers';
 import * as Schedules from './schedule';
 import type { Action, LinkFault, Step } from './schedule';
 import * as Targets from './targets';
-import type { TargetPlace } from './targets';
+import type { ManagedTarget } from './targets';
 
 export interface SoakOptions {
   readonly seed: number;
@@ -34,11 +37,11 @@
   readonly lines: readonly LogLine[];
 }
 
-interface World {
+interface Environment {
   readonly store: StoreStandin;
-  readonly routers: readonly RouterPlace[];
-  readonly targets: readonly TargetPlace[];
-  readonly ledger: Ledger;
+  readonly routers: readonly ManagedRouter[];
+  readonly targets: readonly ManagedTarget[];
+  readonly requestLog: RequestLog;
   readonly versions: WrittenVersion[];
 }
 
@@ -46,15 +49,16 @@
 const ENGINES = 4;
 const SERVICES = 3;
 const EVENT_COUNT = 60;
-/** A life that begins after a crash, milliseconds. */
-const DOWN_MS = 700;
-/** A leaving target ends this long after it said so. */
-const LEAVES_MS = 4_500;
-/** After the last fault everything must work again within this. */
-const SETTLE_MS = 5_000;
-const LAST_REQUESTS = 10;
-/** Engines notice that a caller has left within this. */
-const CANCELLED_MS = 1_500;
+/** Time between the exit of a target and the start of its next incarnation. */
+const DOWNTIME_MS = 700;
+/** Time between a target's announcement that it leaves and its exit. */
+const LEAVE_DURATION_MS = 4_500;
+/** Time after the last fault within which every router must serve requests again. */
+const RECOVERY_MS = 5_000;
+/** Requests for each router on which the recovery check is based. */
+const FINAL_REQUESTS = 10;
+/** Time within which targets must notice that a caller has disconnected. */
+const CANCELLATION_MS = 1_500;
 
 async function waitMs(ms: number): Promise<void> {
   await new Promise((resolve) => {
@@ -62,13 +66,13 @@
   });
 }
 
-function writeNextVersion({ store, versions }: World): void {
+function writeNextVersion({ store, versions }: Environment): void {
   const version = (versions[0]?.version ?? 0) + 1;
   store.writeValue(Standins.CONFIGURATION_KEY, Configurations.formatConfiguration(version));
   versions.unshift({ version, writtenAtMs: performance.now() });
 }
 
-async function startWorld(options: SoakOptions): Promise<World> {
+async function startEnvironment(options: SoakOptions): Promise<Environment> {
   const store = Standins.createStoreStandin();
   const storeAddress = await store.start();
   const kinds = [
@@ -90,39 +94,43 @@
     peerAddress: peers[index] ?? '',
     seeds: peers.slice(0, 2),
   }));
-  const ledger = Ledgers.createLedger();
+  const requestLog = RequestLogs.createRequestLog();
   const versions: WrittenVersion[] = [];
-  const world: World = { store, routers: [], targets, ledger, versions };
-  writeNextVersion(world);
-  return { ...world, routers: await Promise.all(routers.map(Routers.startRouter)) };
+  const environment: Environment = { store, routers: [], targets, requestLog, versions };
+  writeNextVersion(environment);
+  return { ...environment, routers: await Promise.all(routers.map(Routers.startRouter)) };
 }
 
-async function playLinkFault(link: LinkStandin, fault: LinkFault, forMs: number): Promise<void> {
+async function applyLinkFault(link: LinkStandin, fault: LinkFault, forMs: number): Promise<void> {
   link[fault]();
   if (fault === 'reset') return;
   await waitMs(forMs);
   link.heal();
-  // What was cut in the middle stays silent, as after a real cut; new connections work.
+  // Connections that were cut stay silent, as after a real cut, so they are reset; new ones work.
   link.reset();
 }
 
-/** Marks routers as disturbed while something is played. */
+/** Records the routers as disturbed for as long as the fault lasts. */
 async function runDisturbed(
-  { ledger }: World,
+  { requestLog }: Environment,
   routers: readonly number[],
-  play: () => Promise<void>,
+  applyFault: () => Promise<void>,
 ): Promise<void> {
   const fromMs = performance.now();
-  const marks = routers.map((router) => ({ router, fromMs, untilMs: Number.POSITIVE_INFINITY }));
-  ledger.disturbances.push(...marks);
-  await play();
-  marks.forEach((mark) => {
-    mark.untilMs = performance.now();
+  const disturbances = routers.map((router) => ({
+    router,
+    fromMs,
+    untilMs: Number.POSITIVE_INFINITY,
+  }));
+  requestLog.disturbances.push(...disturbances);
+  await applyFault();
+  disturbances.forEach((disturbance) => {
+    disturbance.untilMs = performance.now();
   });
 }
 
-async function playRouterFault(
-  router: RouterPlace,
+async function applyRouterFault(
+  router: ManagedRouter,
   fault: Schedules.RouterFault,
   forMs: number,
 ): Promise<void> {
@@ -131,105 +139,109 @@
   else await router.restart(fault === 'kill' ? 'SIGKILL' : 'SIGTERM');
 }
 
-async function playLeaving(world: World, target: TargetPlace): Promise<void> {
+async function simulateLeaving(environment: Environment, target: ManagedTarget): Promise<void> {
   const id = target.leave();
-  world.ledger.leavings.push({ target: id, writtenAtMs: performance.now() });
-  await waitMs(LEAVES_MS);
-  await target.restart(DOWN_MS);
+  environment.requestLog.leavings.push({ target: id, writtenAtMs: performance.now() });
+  await waitMs(LEAVE_DURATION_MS);
+  await target.restart(DOWNTIME_MS);
 }
 
-async function playTargetAction(world: World, action: Action, forMs: number): Promise<void> {
+async function applyTargetAction(
+  environment: Environment,
+  action: Action,
+  forMs: number,
+): Promise<void> {
   if (action.kind !== 'target' && action.kind !== 'restart' && action.kind !== 'leave') return;
-  const target = world.targets[action.target];
+  const target = environment.targets[action.target];
   if (target === undefined) return;
-  if (action.kind === 'restart') await target.restart(DOWN_MS);
-  else if (action.kind === 'leave') await playLeaving(world, target);
+  if (action.kind === 'restart') await target.restart(DOWNTIME_MS);
+  else if (action.kind === 'leave') await simulateLeaving(environment, target);
   else {
-    const life = target.getLife();
-    life.setFault(action.fault);
+    const incarnation = target.getCurrent();
+    incarnation.setFault(action.fault);
     await waitMs(forMs);
-    life.setFault('none');
+    incarnation.setFault('none');
   }
 }
 
-async function playAction(world: World, { action, forMs }: Step): Promise<void> {
-  const everybody = world.routers.map((_router, index) => index);
-  if (action.kind === 'configure') writeNextVersion(world);
-  else if (action.kind === 'compact') world.store.compact();
+async function applyAction(environment: Environment, { action, forMs }: Step): Promise<void> {
+  const allRouters = environment.routers.map((_router, index) => index);
+  if (action.kind === 'configure') writeNextVersion(environment);
+  else if (action.kind === 'compact') environment.store.compact();
   else if (action.kind === 'store') {
-    await runDisturbed(world, everybody, async () => {
-      world.store.setFault(action.fault);
+    await runDisturbed(environment, allRouters, async () => {
+      environment.store.setFault(action.fault);
       await waitMs(forMs);
-      world.store.setFault('none');
+      environment.store.setFault('none');
     });
   } else if (action.kind === 'router' || action.kind === 'storeLink') {
-    const router = world.routers[action.router];
+    const router = environment.routers[action.router];
     if (router === undefined) return;
-    await runDisturbed(world, [action.router], () =>
+    await runDisturbed(environment, [action.router], () =>
       action.kind === 'router'
-        ? playRouterFault(router, action.fault, forMs)
-        : playLinkFault(router.storeLink, action.fault, forMs),
+        ? applyRouterFault(router, action.fault, forMs)
+        : applyLinkFault(router.storeLink, action.fault, forMs),
     );
   } else if (action.kind === 'targetLink') {
-    const target = world.targets[action.target];
-    if (target !== undefined) await playLinkFault(target.link, action.fault, forMs);
-  } else await playTargetAction(world, action, forMs);
+    const target = environment.targets[action.target];
+    if (target !== undefined) await applyLinkFault(target.link, action.fault, forMs);
+  } else await applyTargetAction(environment, action, forMs);
 }
 
-/** Actions on one place follow each other; those on different places overlap. */
-function getPlace(action: Action): string {
+/** Names the component that an action affects. Actions on one component run in sequence, others overlap. */
+function getComponent(action: Action): string {
   if ('router' in action) return `router ${action.router}`;
   if ('target' in action && action.kind !== 'targetLink') return `target ${action.target}`;
   return 'target' in action ? `link ${action.target}` : action.kind;
 }
 
-async function playSchedule(world: World, schedule: readonly Step[]): Promise<void> {
+async function runSchedule(environment: Environment, schedule: readonly Step[]): Promise<void> {
   const startedMs = performance.now();
   const busy = new Map<string, Promise<void>>();
   for (const step of schedule) {
     await waitMs(startedMs + step.atMs - performance.now());
-    const place = getPlace(step.action);
-    const before = busy.get(place) ?? Promise.resolve();
+    const component = getComponent(step.action);
+    const earlierActions = busy.get(component) ?? Promise.resolve();
     busy.set(
-      place,
-      before.then(() => playAction(world, step)),
+      component,
+      earlierActions.then(() => applyAction(environment, step)),
     );
   }
   await Promise.all(busy.values());
 }
 
-/** After the last fault every router serves again, and no work is left for callers that are gone. */
-function* checkEnd(world: World, before: number): Generator<Violation> {
-  const { ledger, routers, targets } = world;
-  const last = [...ledger.requests.values()].slice(before);
+/** Checks that every router serves requests after the last fault and that no abandoned request still runs. */
+function* checkEnd(environment: Environment, priorCount: number): Generator<Violation> {
+  const { requestLog, routers, targets } = environment;
+  const finalRequests = [...requestLog.requests.values()].slice(priorCount);
   for (const [index, router] of routers.entries()) {
-    const own = last.filter((request) => request.router === index);
-    const served = own.filter(({ id }) => {
-      const view = ledger.views.get(id);
-      return view?.kind === 'answer' && view.status === 200 && view.isWhole;
+    const routerRequests = finalRequests.filter((request) => request.router === index);
+    const served = routerRequests.filter(({ id }) => {
+      const result = requestLog.results.get(id);
+      return result?.kind === 'answer' && result.status === 200 && result.isComplete;
     });
-    if (served.length * 2 < own.length) {
-      const text = `router ${index}: ${served.length} of ${own.length} served at the end`;
+    if (served.length * 2 < routerRequests.length) {
+      const text = `router ${index}: ${served.length} of ${routerRequests.length} served at the end`;
       yield { rule: 'recovers', text };
     }
-    for (const code of router.listExits().filter((one) => one !== 0)) {
-      yield { rule: 'ends', text: `router ${index}: ended with ${String(code)} after SIGTERM` };
+    for (const code of router.listExitCodes().filter((one) => one !== 0)) {
+      yield { rule: 'ends', text: `router ${index}: exited with ${String(code)} after SIGTERM` };
     }
   }
-  const open = targets.reduce((sum, target) => sum + target.getLife().countOpen(), 0);
-  if (open > 0) {
-    yield { rule: 'cancelled', text: `${open} requests are still worked on at the end` };
+  const openRequests = targets.reduce((sum, target) => sum + target.getCurrent().countOpen(), 0);
+  if (openRequests > 0) {
+    yield { rule: 'cancelled', text: `${openRequests} requests still run at the end` };
   }
 }
 
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const size = { routers: options.routers, targets: ENGINES + SERVICES };
   const schedule = Schedules.createSchedule(options.seed, options.seconds * 1_000, size);
-  const world = await startWorld(options);
-  const { ledger, routers, targets, versions } = world;
+  const environment = await startEnvironment(options);
+  const { requestLog, routers, targets, versions } = environment;
   const callers = Callers.createCallers({
     routers,
-    ledger,
+    requestLog,
     random: Randoms.createRandom(options.seed + 1),
     eventCount: EVENT_COUNT,
     listVersions: () => versions,
@@ -239,27 +251,27 @@
     ...Array.from({ length: options.callers }, () => callers.runCaller(stopping.signal)),
     ...routers.map((_router, index) => callers.runProber(index, stopping.signal)),
   ];
-  await playSchedule(world, schedule);
-  await waitMs(SETTLE_MS);
-  const before = ledger.requests.size;
-  while (ledger.requests.size < before + LAST_REQUESTS * routers.length) await waitMs(50);
+  await runSchedule(environment, schedule);
+  await waitMs(RECOVERY_MS);
+  const priorCount = requestLog.requests.size;
+  while (requestLog.requests.size < priorCount + FINAL_REQUESTS * routers.length) await waitMs(50);
   stopping.abort();
   await Promise.all(running);
-  await waitMs(CANCELLED_MS);
-  const atEnd = [...checkEnd(world, before)];
+  await waitMs(CANCELLATION_MS);
+  const atEnd = [...checkEnd(environment, priorCount)];
   await callers.close();
   await Promise.all(routers.map((router) => router.stop()));
-  const lives = targets.flatMap((target) => target.listLives());
+  const incarnations = targets.flatMap((target) => target.listIncarnations());
   const organisation = Standins.ORGANISATION;
-  const evidence = { ledger, lives, eventCount: EVENT_COUNT, organisation };
+  const evidence = { requestLog, incarnations, eventCount: EVENT_COUNT, organisation };
   await Promise.all(targets.map((target) => target.stop()));
-  await world.store.stop();
+  await environment.store.stop();
   return {
     violations: [...Checks.checkEvidence(evidence), ...atEnd],
     schedule,
-    requests: ledger.requests.size,
-    answered: [...ledger.views.values()].filter((view) => view.kind === 'answer').length,
-    probes: ledger.probes.length,
-    lines: routers.flatMap((router) => router.listLines()),
+    requests: requestLog.requests.size,
+    answered: [...requestLog.results.values()].filter((result) => result.kind === 'answer').length,
+    probes: requestLog.probes.length,
+    lines: routers.flatMap((router) => router.listLogLines()),
   };
 }
--- a/soak/src/schedule.ts
+++ b/soak/src/schedule.ts
@@ -1,4 +1,4 @@
-/** Which faults strike when: follows from the seed and the size alone. */
+/** Creates the schedule of faults, which depends on the seed, the duration and the size only. */
 import type { StoreFault, TargetFault } from '@sequoiarill/standins';
 
 import * as Randoms from './random';
@@ -13,29 +13,29 @@
   | { readonly kind: 'store'; readonly fault: Exclude<StoreFault, 'none'> }
   | { readonly kind: 'compact' }
   | { readonly kind: 'target'; readonly target: number; readonly fault: TargetFault }
-  /** Ends without a word, and comes back at its address as another life. */
+  /** The target exits without notice and starts again at its address as a new incarnation. */
   | { readonly kind: 'restart'; readonly target: number }
-  /** Says that it leaves, leaves, and comes back as another life. */
+  /** The target announces that it leaves, exits, and starts again as a new incarnation. */
   | { readonly kind: 'leave'; readonly target: number }
   | { readonly kind: 'router'; readonly router: number; readonly fault: RouterFault }
   | { readonly kind: 'configure' };
 
 export interface Step {
   readonly atMs: number;
-  /** How long the fault lasts, milliseconds. */
+  /** Duration of the fault. */
   readonly forMs: number;
   readonly action: Action;
 }
 
-export interface Size {
+export interface SystemSize {
   readonly routers: number;
   readonly targets: number;
 }
 
-/** Pauses between two steps; faults overlap, since they last longer than most pauses. */
-const PAUSE_MS = [60, 900] as const;
-const LASTS_MS = [150, 2_500] as const;
-/** Some faults come as a series on the same place. */
+/** Pause between two steps. Faults overlap, since most last longer than a pause. */
+const STEP_PAUSE_MS = [60, 900] as const;
+const FAULT_DURATION_MS = [150, 2_500] as const;
+/** Share of the actions that are repeated as a series on the same component. */
 const SERIES_SHARE = 0.25;
 const MAX_SERIES = 4;
 
@@ -57,9 +57,9 @@
 ];
 const ROUTER_FAULTS: readonly RouterFault[] = ['pause', 'terminate', 'kill', 'reload'];
 
-type PickAction = (random: Random, size: Size) => Action;
+type PickAction = (random: Random, size: SystemSize) => Action;
 
-const ACTIONS: readonly PickAction[] = [
+const ACTION_PICKERS: readonly PickAction[] = [
   (random, { routers }) => ({
     kind: 'storeLink',
     router: random.pickBetween(0, routers - 1),
@@ -88,17 +88,21 @@
   () => ({ kind: 'configure' }),
 ];
 
-export function createSchedule(seed: number, lastsMs: number, size: Size): readonly Step[] {
+export function createSchedule(
+  seed: number,
+  durationMs: number,
+  size: SystemSize,
+): readonly Step[] {
   const random = Randoms.createRandom(seed);
   const steps: Step[] = [];
   let atMs = 0;
-  while (atMs < lastsMs) {
-    const action = random.pickOne(ACTIONS)(random, size);
+  while (atMs < durationMs) {
+    const action = random.pickOne(ACTION_PICKERS)(random, size);
     const count = random.next() < SERIES_SHARE ? random.pickBetween(2, MAX_SERIES) : 1;
-    for (let index = 0; index < count && atMs < lastsMs; index += 1) {
-      atMs += random.pickBetween(...PAUSE_MS);
-      steps.push({ atMs, forMs: random.pickBetween(...LASTS_MS), action });
+    for (let index = 0; index < count && atMs < durationMs; index += 1) {
+      atMs += random.pickBetween(...STEP_PAUSE_MS);
+      steps.push({ atMs, forMs: random.pickBetween(...FAULT_DURATION_MS), action });
     }
   }
-  return steps.filter((step) => step.atMs < lastsMs);
+  return steps.filter((step) => step.atMs < durationMs);
 }
--- a/soak/src/targets.ts
+++ b/soak/src/targets.ts
@@ -1,22 +1,22 @@
-/** Targets behind links, each a series of lives at one address. */
+/** Runs targets behind links. A target has a sequence of incarnations at one address. */
 import * as Standins from '@sequoiarill/standins';
 import type { LinkStandin, ServiceName, StoreStandin, TargetStandin } from '@sequoiarill/standins';
 
-import type { LifeRuns } from './checks';
+import type { IncarnationRuns } from './checks';
 
-export interface TargetPlace {
+export interface ManagedTarget {
   readonly service: ServiceName;
   readonly link: LinkStandin;
-  readonly getLife: () => TargetStandin;
-  readonly listLives: () => readonly LifeRuns[];
-  /** Ends this life without a word; another one begins after the time. */
+  readonly getCurrent: () => TargetStandin;
+  readonly listIncarnations: () => readonly IncarnationRuns[];
+  /** Stops the current incarnation without notice and starts the next one after the given time. */
   readonly restart: (downMs: number) => Promise<void>;
-  /** Writes that it leaves; gives the identity of the life that does. */
+  /** Writes to the store that the target leaves, and returns the id of the current incarnation. */
   readonly leave: () => string;
   readonly stop: () => Promise<void>;
 }
 
-export interface TargetPlaceOptions {
+export interface TargetOptions {
   readonly index: number;
   readonly service: ServiceName;
   readonly zone: string;
@@ -26,32 +26,32 @@
 
 const SLOTS = 32;
 
-export async function startTarget(options: TargetPlaceOptions): Promise<TargetPlace> {
+export async function startTarget(options: TargetOptions): Promise<ManagedTarget> {
   const { index, service, zone, store, eventCount } = options;
-  const lives: TargetStandin[] = [];
+  const incarnations: TargetStandin[] = [];
   let listen = '127.0.0.1:0';
   let isStopped = false;
 
-  function createLife(): TargetStandin {
-    const id = `${service}-${index}-life-${lives.length + 1}`;
-    const life = Standins.createTargetStandin(id, { listen, eventCount });
-    lives.push(life);
-    return life;
+  function createIncarnation(): TargetStandin {
+    const id = `${service}-${index}-life-${incarnations.length + 1}`;
+    const incarnation = Standins.createTargetStandin(id, { listen, eventCount });
+    incarnations.push(incarnation);
+    return incarnation;
   }
 
-  function getLife(): TargetStandin {
-    const life = lives.at(-1);
-    if (life === undefined) throw new Error('the target has no life yet');
-    return life;
+  function getCurrent(): TargetStandin {
+    const incarnation = incarnations.at(-1);
+    if (incarnation === undefined) throw new Error('the target has not been started');
+    return incarnation;
   }
 
   function writeEntry(state: 'ready' | 'draining'): void {
-    const startedAtUnixMs = lives.length;
+    const startedAtUnixMs = incarnations.length;
     const entry = { service, address, zone, slots: SLOTS, state, startedAtUnixMs };
-    store.writeValue(Standins.formatTargetKey(getLife().id), Standins.formatTargetEntry(entry));
+    store.writeValue(Standins.formatTargetKey(getCurrent().id), Standins.formatTargetEntry(entry));
   }
 
-  listen = await createLife().start();
+  listen = await createIncarnation().start();
   const link = Standins.createLinkStandin({ target: listen });
   const { address } = await link.start();
   writeEntry('ready');
@@ -59,27 +59,28 @@
   return {
     service,
     link,
-    getLife,
-    listLives: () => lives.map((life) => ({ target: life.id, runs: life.listRuns() })),
+    getCurrent,
+    listIncarnations: () =>
+      incarnations.map((incarnation) => ({ target: incarnation.id, runs: incarnation.listRuns() })),
     async restart(downMs) {
-      const ended = getLife();
+      const ended = getCurrent();
       await ended.stop();
       await new Promise((resolve) => {
         setTimeout(resolve, downMs);
       });
       if (isStopped) return;
-      const next = createLife();
+      const next = createIncarnation();
       await next.start();
       store.removeKey(Standins.formatTargetKey(ended.id));
       writeEntry('ready');
     },
     leave() {
       writeEntry('draining');
-      return getLife().id;
+      return getCurrent().id;
     },
     async stop() {
       isStopped = true;
-      await getLife().stop();
+      await getCurrent().stop();
       await link.stop();
     },
   };
