--- a/packages/sequoiarill-testing/src/__tests__/engineLoss.test.ts
+++ b/packages/sequoiarill-testing/src/__tests__/engineLoss.test.ts
@@ -15,14 +15,14 @@
 
 describe('loss of an engine process', () => {
   let fleet: Fleet;
-  let calm: Answers.ReadAnswer;
+  let baseline: Answers.ReadAnswer;
 
   before(async () => {
     fleet = await Fleets.startFleet({
       engines: 3,
       engineSettings: { stepMs: 8, eosProbability: 0 },
     });
-    calm = await readAnswer();
+    baseline = await readAnswer();
   });
 
   after(() => fleet.stop());
@@ -49,29 +49,28 @@
     return engine;
   }
 
-  it('continues the open stream with the very next token after SIGKILL', async () => {
-    // A shopper reads a recommendation when its engine's machine loses power. The stream goes on
-    // from another engine; the whole text, the count of tokens and the finish reason are those of
-    // an undisturbed run. Cause: the engine's process is killed deep into the answer.
+  it('continues the stream with the next token after SIGKILL', async () => {
+    // The engine's process is killed in the middle of an answer. Another engine must continue the stream,
+    // with the text, token count and finish reason of an undisturbed run.
     let killed: Promise<number> | undefined;
     const answer = await readAnswer((requestId) => {
       killed = sendToEngine(requestId, 'SIGKILL');
     });
     const engine = await killed!;
     await fleet.startEngine(engine);
-    expect(answer.text).toEqual(calm.text);
+    expect(answer.text).toEqual(baseline.text);
     expect(answer.completionTokens).toEqual(MAX_TOKENS);
-    expect(answer.promptTokens).toEqual(calm.promptTokens);
+    expect(answer.promptTokens).toEqual(baseline.promptTokens);
     expect(answer.finishReason).toEqual('length');
     expect(answer.error).toEqual(undefined);
     const journal = await Journals.readJournal(fleet.routers[0]!, answer.requestId!);
     expect(journal.filter(({ kind }) => kind === 'dispatched').length).toEqual(2);
   });
 
-  it('ends before a stop sequence as if no engine had died', async () => {
-    // The answer has a stop sequence some tokens after the kill. The part before the kill came
-    // from the first engine, and neither engine alone knows the whole text.
-    const stop = [calm.text.slice(-60, -48)];
+  it('finds a stop sequence in the text of two engines', async () => {
+    // The stop sequence begins some tokens after the kill. The text before the kill came from the first
+    // engine, so neither engine alone has the complete text in which to find it.
+    const stop = [baseline.text.slice(-60, -48)];
     const undisturbed = await readAnswer(undefined, stop);
     let killed: Promise<number> | undefined;
     const answer = await readAnswer((requestId) => {
@@ -83,22 +82,22 @@
     expect(answer.completionTokens).toEqual(undisturbed.completionTokens);
   });
 
-  it('goes on without an engine that is paused, and ignores what it sends when woken', async () => {
-    // An engine's machine freezes in the middle of an answer and wakes after another engine has
-    // taken over. The caller gets each token once; what the woken engine still sends goes nowhere.
+  it('continues without a paused engine and discards its output after it resumes', async () => {
+    // An engine's process is paused in the middle of an answer and resumes after another engine has taken
+    // over. The caller must get each token once; late output of the first engine is discarded.
     let paused: Promise<number> | undefined;
     const answer = await readAnswer((requestId) => {
       paused = sendToEngine(requestId, 'SIGSTOP');
     });
     fleet.engines[await paused!]!.send('SIGCONT');
-    expect(answer.text).toEqual(calm.text);
+    expect(answer.text).toEqual(baseline.text);
     expect(answer.completionTokens).toEqual(MAX_TOKENS);
     const again = await readAnswer();
-    expect(again.text).toEqual(calm.text);
+    expect(again.text).toEqual(baseline.text);
   });
 
-  it('serves the official client, streaming and not, through a kill', async () => {
-    // A web shop uses the published client unchanged while an engine dies under its stream.
+  it('serves the official client during the loss of an engine, streaming and not', async () => {
+    // Uses the published client unchanged while an engine is killed during its stream.
     const client = new OpenAI({
       apiKey: fleet.apiKey,
       baseURL: `${fleet.routers[0]!.callers}/v1`,
@@ -123,23 +122,23 @@
       }
     }
     await fleet.startEngine(await killed!);
-    const whole = await client.responses.create({
+    const nonStreaming = await client.responses.create({
       model: Demo.MODEL,
       input: PROMPT,
       max_output_tokens: MAX_TOKENS,
     });
-    expect(text).toEqual(calm.text);
-    expect(whole.output_text).toEqual(calm.text);
+    expect(text).toEqual(baseline.text);
+    expect(nonStreaming.output_text).toEqual(baseline.text);
   });
 
-  it('tells the caller at once when no engine is left', async () => {
-    // Every engine is gone in the middle of an answer. The caller keeps what stands and hears at
-    // once that it can't be continued, instead of waiting for its own timeout.
+  it('reports an error at once when no engine is left', async () => {
+    // All engines are killed in the middle of an answer. The caller keeps the text so far and must get an
+    // error at once, instead of waiting for its own timeout.
     const answer = await readAnswer(() => {
       fleet.engines.forEach((engine) => engine.send('SIGKILL'));
     });
     expect(answer.finishReason).toEqual(undefined);
-    expect(calm.text.startsWith(answer.text)).toEqual(true);
+    expect(baseline.text.startsWith(answer.text)).toEqual(true);
     expect(answer.error === undefined).toEqual(false);
     const refused = await readAnswer();
     expect(refused.status).toEqual(503);
--- a/packages/sequoiarill-testing/src/__tests__/matrixCallers.test.ts
+++ b/packages/sequoiarill-testing/src/__tests__/matrixCallers.test.ts
@@ -10,24 +10,24 @@
 import type { GenerationFault } from '../matrix/generationFaults';
 import * as GenerationSteps from '../matrix/generationSteps';
 import * as Waiting from '../matrix/waiting';
-import * as Worlds from '../matrix/world';
+import * as Deployments from '../matrix/deployment';
 
 const CONCURRENCY = 6;
-/** The engine had the request when its caller left. */
-const AT_WORK: ReadonlySet<string> = new Set(['G4', 'G5', 'G6', 'G10']);
+/** Steps at which the engine has the request when its caller disconnects. */
+const STEPS_AT_ENGINE: ReadonlySet<string> = new Set(['G4', 'G5', 'G6', 'G10']);
 
-// A shopper closes the page in the middle of an answer. The engine's work ends soon, whatever it is
-// at, and the next shopper's answer is whole. Cause: a generation that nobody reads any more, or
-// whose cancel got lost, and that goes on for minutes.
-describe('fault matrix: the caller is gone', { concurrency: CONCURRENCY }, () => {
+// A caller disconnects in the middle of an answer. Guards against a generation that runs on for minutes
+// because nobody reads it or because its cancellation was lost: the engine must stop soon at any step,
+// and the next answer must be complete.
+describe('fault matrix: the caller disconnects', { concurrency: CONCURRENCY }, () => {
   for (const step of GenerationSteps.STEP_RUNNERS) {
     it(Cells.formatTestName(`${step.code}-C1`), async () => {
-      const calm = await GenerationCells.readCalmAnswer();
-      await CallerCells.runLeaving(step, ({ world, next }) => {
-        const { cancelled, abandoned } = world.engines[0]!.getCounters();
-        if (AT_WORK.has(step.code)) expect(cancelled).toEqual(1);
+      const baseline = await GenerationCells.readBaselineAnswer();
+      await CallerCells.runDisconnected(step, ({ deployment, next }) => {
+        const { cancelled, abandoned } = deployment.engines[0]!.getCounters();
+        if (STEPS_AT_ENGINE.has(step.code)) expect(cancelled).toEqual(1);
         expect(abandoned).toEqual(0);
-        expect(next.text).toEqual(calm.text);
+        expect(next.text).toEqual(baseline.text);
       });
     });
   }
@@ -35,18 +35,18 @@
   const faults = [...Faults.TARGET_FAULTS, ...Faults.LINK_FAULTS, ...Faults.PLATFORM_FAULTS];
   for (const fault of faults) {
     it(Cells.formatTestName(`G9-${fault.code}`), async () => {
-      const calm = await GenerationCells.readCalmAnswer();
+      const baseline = await GenerationCells.readBaselineAnswer();
       await CallerCells.runCancelled(fault, ({ next }) => {
         expect(next.error).toEqual(undefined);
-        expect(next.text).toEqual(calm.text);
+        expect(next.text).toEqual(baseline.text);
       });
     });
   }
 });
 
-// An operator replaces a router's VM while answers stream through it. Each answer ends whole, new
-// requests are told to come back elsewhere, and the router ends only then. Cause: a stop that cuts
-// what is in progress, or that takes new work.
+// A router is stopped as planned while answers stream through it. Guards against a stop that aborts work
+// in progress or accepts new work: each answer must be complete, new requests must be refused with
+// `Retry-After`, and only then may the router exit.
 describe('fault matrix: planned stop of the router', { concurrency: CONCURRENCY }, () => {
   for (const step of GenerationSteps.STEP_RUNNERS) {
     it(Cells.formatTestName(`${step.code}-R3`), async () => {
@@ -54,22 +54,22 @@
       let refusal: CallerCells.DrainingRefusal | undefined;
       const fault: GenerationFault = {
         code: 'R3',
-        async strike(world) {
-          stopped = world.routers[0]!.router.stop();
-          refusal = await CallerCells.sendWhileDraining(world);
-          world.engineLink.heal();
+        async inject(deployment) {
+          stopped = deployment.routers[0]!.router.stop();
+          refusal = await CallerCells.sendWhileDraining(deployment);
+          deployment.engineLink.heal();
         },
         releasesEngine: true,
       };
-      await GenerationCells.runCell(step, fault, async ({ answers, calm }) => {
+      await GenerationCells.runCell(step, fault, async ({ answers, baseline }) => {
         for (const answer of answers) {
           expect(answer.error).toEqual(undefined);
-          expect(answer.text).toEqual(calm.text);
-          expect(answer.finishReason).toEqual(calm.finishReason);
+          expect(answer.text).toEqual(baseline.text);
+          expect(answer.finishReason).toEqual(baseline.finishReason);
         }
         await Waiting.waitFor('the router stops', stopped!);
       });
-      // With its last token out, a router may have drained before the new request comes.
+      // A router whose last answer is already sent may have drained before the new request arrives.
       if (refusal === undefined) expect(['G7', 'G8'].includes(step.code)).toEqual(true);
       else {
         expect(refusal.status).toEqual(503);
@@ -80,12 +80,12 @@
 });
 
 describe('fault matrix: the caller reads slowly', { concurrency: CONCURRENCY }, () => {
-  /** More events than the sockets on the way hold, which is some 4 MB here. */
+  /** More events than the sockets between engine and caller buffer, which is about 4 MB here. */
   const LONG_TOKENS = 14_000;
   const MAX_RESPONSE_BYTES = 524_288;
-  /** With the backlog of a reader, and the event that went over. */
-  const MAX_KEPT_BYTES = MAX_RESPONSE_BYTES + 262_144 + 4_096;
-  /** Longer than any silence of an engine may last. */
+  /** Includes the backlog of a reader and the event that exceeded the limit. */
+  const MAX_RETAINED_BYTES = MAX_RESPONSE_BYTES + 262_144 + 4_096;
+  /** Longer than the stall limit of an engine. */
   const PAUSE_MS = 1_500;
 
   async function waitForPause(): Promise<void> {
@@ -96,64 +96,68 @@
 
   for (const id of ['G5-C2', 'G8-C2']) {
     it(Cells.formatTestName(id), async () => {
-      // A reader's phone sleeps in the middle of an answer for longer than an engine may be silent.
-      // The engine is not blamed for it: nothing is lost, and the rest comes when the phone wakes.
-      const calm = await GenerationCells.readCalmAnswer();
-      const world = await Worlds.startWorld();
+      // A caller stops reading for longer than an engine may be silent. The engine must not count as
+      // stalled: no second engine is used, and the rest of the answer follows when the caller reads
+      // again.
+      const baseline = await GenerationCells.readBaselineAnswer();
+      const deployment = await Deployments.startDeployment();
       try {
         const pauseAfter = id === 'G5-C2' ? GenerationSteps.EARLY_TOKENS : 1;
-        const part = await Callers.readResponse(world, { pauseAfter, resumed: waitForPause() });
-        expect(part.text).toEqual(calm.text);
-        expect(part.completionTokens).toEqual(calm.completionTokens);
-        expect(await GenerationCells.countDispatches(world, part.responseId)).toEqual(1);
+        const part = await Callers.readResponse(deployment, {
+          pauseAfter,
+          resumed: waitForPause(),
+        });
+        expect(part.text).toEqual(baseline.text);
+        expect(part.completionTokens).toEqual(baseline.completionTokens);
+        expect(await GenerationCells.countDispatches(deployment, part.responseId)).toEqual(1);
       } finally {
-        await world.stop();
+        await deployment.stop();
       }
     });
   }
 
   it(Cells.formatTestName('G6-C2'), async () => {
-    // A reader stops reading a long answer for so long that every buffer on the way is full. The
-    // router keeps a bounded part of it, the engine waits and is not blamed, other callers get
-    // their answers meanwhile, and the reader gets the whole answer afterwards.
-    const calm = await GenerationCells.readCalmAnswer();
-    const world = await Worlds.startWorld({
+    // A caller stops reading a long answer until every buffer on the path is full. The router must retain
+    // a bounded part, the engine must wait without counting as stalled, other callers must get their
+    // answers meanwhile, and the caller must get the complete answer afterwards.
+    const baseline = await GenerationCells.readBaselineAnswer();
+    const deployment = await Deployments.startDeployment({
       maxOutputTokens: LONG_TOKENS,
       engines: 1,
       engineSettings: { stepMs: 1 },
       routerSettings: { callers: { maxResponseBytes: MAX_RESPONSE_BYTES } },
     });
-    let wake: () => void = () => undefined;
+    let resume: () => void = () => undefined;
     try {
-      const reading = Callers.readResponse(world, {
+      const reading = Callers.readResponse(deployment, {
         maxTokens: LONG_TOKENS,
         pauseAfter: 1,
         resumed: new Promise((resolve) => {
-          wake = resolve;
+          resume = resolve;
         }),
       });
-      let known = 0;
-      let largest = 0;
+      let previousBytes = 0;
+      let largestBytes = 0;
       await Waiting.waitUntil('the router waits for the reader', async () => {
-        const { responses } = await world.routers[0]!.dumpPlugin('callers');
+        const { responses } = await deployment.routers[0]!.dumpPlugin('callers');
         const { bytes } = responses as { readonly bytes: number };
-        largest = Math.max(largest, bytes);
-        const hasStopped = bytes === known && bytes > 0;
-        known = bytes;
+        largestBytes = Math.max(largestBytes, bytes);
+        const hasStopped = bytes === previousBytes && bytes > 0;
+        previousBytes = bytes;
         if (!hasStopped) await waitForPause();
         return hasStopped;
       });
-      expect(largest < MAX_KEPT_BYTES).toEqual(true);
-      const other = await Callers.readAnswer(world);
-      expect(other.text).toEqual(calm.text);
-      wake();
+      expect(largestBytes < MAX_RETAINED_BYTES).toEqual(true);
+      const other = await Callers.readAnswer(deployment);
+      expect(other.text).toEqual(baseline.text);
+      resume();
       const part = await reading;
       expect(part.completionTokens).toEqual(LONG_TOKENS);
       expect(part.status).toEqual('incomplete');
-      expect(await GenerationCells.countDispatches(world, part.responseId)).toEqual(1);
+      expect(await GenerationCells.countDispatches(deployment, part.responseId)).toEqual(1);
     } finally {
-      wake();
-      await world.stop();
+      resume();
+      await deployment.stop();
     }
   });
 });
--- a/packages/sequoiarill-testing/src/__tests__/matrixSequences.test.ts
+++ b/packages/sequoiarill-testing/src/__tests__/matrixSequences.test.ts
@@ -6,18 +6,18 @@
 import * as Callers from '../matrix/callers';
 import * as GenerationCells from '../matrix/generationCells';
 import * as Waiting from '../matrix/waiting';
-import * as Worlds from '../matrix/world';
-import type { World } from '../matrix/world';
+import * as Deployments from '../matrix/deployment';
+import type { Deployment } from '../matrix/deployment';
 
 const SEED = 20261203;
 const SEQUENCES = 40;
 const CONCURRENCY = 8;
-/** One more than the longest sequence can take away. */
+/** One more than the number of engines that the longest sequence can fail. */
 const ENGINES = 5;
 
 interface SequenceFault {
   readonly kind: 'die' | 'restart' | 'pause' | 'stall' | 'slow' | 'platformDown';
-  /** Pieces of text that the caller has before the fault strikes. */
+  /** Pieces of text that the caller has received before the fault is injected. */
   readonly after: number;
 }
 
@@ -34,12 +34,12 @@
   return faults.map(({ kind, after }) => `${kind}@${after}`).join(', ');
 }
 
-async function applyFault(world: World, kind: SequenceFault['kind']): Promise<void> {
+async function applyFault(deployment: Deployment, kind: SequenceFault['kind']): Promise<void> {
   if (kind === 'platformDown') {
-    await world.platform.setFault({ kind: 'refuse' });
+    await deployment.platform.setFault({ kind: 'refuse' });
     return;
   }
-  const engine = world.engines.find((candidate) => candidate.getLoad().running > 0);
+  const engine = deployment.engines.find((candidate) => candidate.getLoad().running > 0);
   if (engine === undefined) return;
   if (kind === 'die') await engine.setFault({ kind: 'die' });
   else if (kind === 'pause') await engine.setFault({ kind: 'pause' });
@@ -56,9 +56,13 @@
   readonly isDone: boolean;
 }
 
-async function waitForPieces(world: World, caller: CallerState, count: number): Promise<void> {
+async function waitForPieces(
+  deployment: Deployment,
+  caller: CallerState,
+  count: number,
+): Promise<void> {
   await Waiting.waitUntil(`the caller has ${count} pieces`, () => {
-    const isRunning = world.engines.some((engine) => engine.getLoad().running > 0);
+    const isRunning = deployment.engines.some((engine) => engine.getLoad().running > 0);
     return caller.isDone || (caller.pieces >= count && isRunning);
   });
 }
@@ -66,14 +70,13 @@
 describe('sequences of faults over sockets', { concurrency: CONCURRENCY }, () => {
   for (const [index, faults] of sequences.entries()) {
     it(`sequence ${index + 1}: ${formatSequence(faults)}`, async () => {
-      // A reader reads one answer while faults follow each other at random places in it. The text
-      // and its counts are those of an undisturbed run. Cause: a state of the relay that only a
-      // certain order of faults leads to.
-      const calm = await GenerationCells.readCalmAnswer();
-      const world = await Worlds.startWorld({ engines: ENGINES });
+      // Several faults are injected at random points of one answer, which must equal that of an
+      // undisturbed run. Guards against states of the relay that only a certain order of faults leads to.
+      const baseline = await GenerationCells.readBaselineAnswer();
+      const deployment = await Deployments.startDeployment({ engines: ENGINES });
       const caller = { pieces: 0, isDone: false };
       try {
-        const reading = Callers.readAnswer(world, {
+        const reading = Callers.readAnswer(deployment, {
           onText(_text, count) {
             caller.pieces = count;
           },
@@ -81,16 +84,16 @@
           caller.isDone = true;
         });
         for (const { kind, after } of faults) {
-          await waitForPieces(world, caller, after);
-          await applyFault(world, kind);
+          await waitForPieces(deployment, caller, after);
+          await applyFault(deployment, kind);
         }
         const answer = await reading;
         expect(answer.error).toEqual(undefined);
-        expect(answer.text).toEqual(calm.text);
-        expect(answer.completionTokens).toEqual(calm.completionTokens);
-        expect(answer.finishReason).toEqual(calm.finishReason);
+        expect(answer.text).toEqual(baseline.text);
+        expect(answer.completionTokens).toEqual(baseline.completionTokens);
+        expect(answer.finishReason).toEqual(baseline.finishReason);
       } finally {
-        await world.stop();
+        await deployment.stop();
       }
     });
   }
--- a/packages/sequoiarill-testing/src/answers.ts
+++ b/packages/sequoiarill-testing/src/answers.ts
@@ -1,4 +1,4 @@
-/** Reads whole answers as a caller does. */
+/** Reads complete answers as a caller does. */
 import * as Demo from '@sequoiarill/demo';
 import * as Undici from 'undici';
 
@@ -10,7 +10,7 @@
   readonly prompt: string;
   readonly maxTokens: number;
   readonly stop?: readonly string[];
-  /** Told of each piece of text as it arrives. */
+  /** Called with each piece of text as it arrives. */
   readonly onText?: (text: string, count: number, requestId: string) => void;
   readonly dispatcher?: Undici.Dispatcher;
 }
@@ -18,7 +18,7 @@
 export interface ReadAnswer {
   readonly status: number;
   readonly text: string;
-  /** Events that carried text. */
+  /** Number of events that carried text. */
   readonly pieces: number;
   readonly finishReason: string | undefined;
   readonly completionTokens: number | undefined;
@@ -40,7 +40,7 @@
   readonly error?: { readonly message: string };
 }
 
-const NO_ANSWER: ReadAnswer = {
+const EMPTY_ANSWER: ReadAnswer = {
   status: 0,
   text: '',
   pieces: 0,
@@ -72,16 +72,16 @@
 export async function readAnswer(options: ReadOptions): Promise<ReadAnswer> {
   const response = await sendRequest(options);
   const retryAfter = response.headers['retry-after'] as string | undefined;
-  let answer: ReadAnswer = { ...NO_ANSWER, status: response.statusCode, retryAfter };
+  let answer: ReadAnswer = { ...EMPTY_ANSWER, status: response.statusCode, retryAfter };
   if (response.statusCode !== HTTP_OK) {
     const body = (await response.body.json()) as Chunk;
     return { ...answer, error: body.error?.message };
   }
   for await (const chunk of EventStreams.readEventStream<Chunk>(response.body)) {
-    const known = answer;
-    answer = mergeChunk(known, chunk);
-    if (answer.pieces > known.pieces) {
-      const text = answer.text.slice(known.text.length);
+    const previous = answer;
+    answer = mergeChunk(previous, chunk);
+    if (answer.pieces > previous.pieces) {
+      const text = answer.text.slice(previous.text.length);
       options.onText?.(text, answer.pieces, answer.requestId ?? '');
     }
   }
--- a/packages/sequoiarill-testing/src/daemons.ts
+++ b/packages/sequoiarill-testing/src/daemons.ts
@@ -1,4 +1,4 @@
-/** Starts daemons as processes of their own and reads the addresses they log. */
+/** Starts daemons as separate processes and reads the addresses that they log. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -8,32 +8,32 @@
 
 export type DaemonKind = 'router' | 'platform' | 'engine' | 'service';
 
-/** Section by section, key by key. */
+/** Values by section and key. */
 export type IniSettings = Readonly<Record<string, Readonly<Record<string, string | number>>>>;
 
 export interface Daemon {
   readonly pid: number;
-  /** Address under each name asked for, as the daemon logged it. */
+  /** The logged addresses by the name of their event. */
   readonly addresses: ReadonlyMap<string, string>;
   /** Processor time used so far, in milliseconds. */
   readonly getCpuMs: () => number;
   /** Resident memory, in bytes. */
   readonly getMemoryBytes: () => number;
   readonly send: (signal: NodeJS.Signals) => void;
-  /** Ends the process and waits for its end; the exit code, or null after a signal. */
+  /** Sends the signal and waits for the exit; returns the exit code, or null after a signal. */
   readonly stop: (signal?: NodeJS.Signals) => Promise<number | null>;
   readonly getLog: () => readonly string[];
 }
 
-/** One tick of the kernel's accounting is a hundredth of a second on every common Linux. */
+/** Linux accounts processor time in ticks of 1/100 s on all common configurations. */
 const MS_PER_TICK = 10;
 const PAGE_BYTES = 4_096;
-/** Fields after the command's closing parenthesis in `/proc/PID/stat`. */
+/** Positions of fields after the closing parenthesis of the command in `/proc/PID/stat`. */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 const RESIDENT_PAGES_FIELD = 21;
 const MAX_LOG_LINES = 2_000;
-const START_LIMIT_MS = 30_000;
+const START_TIMEOUT_MS = 30_000;
 
 export function formatIni(settings: IniSettings): string {
   const lines = Object.entries(settings).flatMap(([section, keys]) => [
@@ -60,8 +60,9 @@
 }
 
 /**
- * Starts a daemon and waits until it has logged each event named, such as `callers.listening`, with
- * its address if it has one; stand-ins print theirs without a name. Rejects with the daemon's output if it ends before that.
+ * Starts a daemon and waits until it has logged each of the named events, such as `callers.listening`,
+ * with its address if it has one. Stand-ins print their address without a name, so theirs is ''.
+ * Rejects with the daemon's output if it exits before that.
  */
 export async function startDaemon(
   kind: DaemonKind,
@@ -78,7 +79,7 @@
   }
 }
 
-/** Starts any program of node that prints its addresses as daemons do. */
+/** Starts any Node.js program that prints its addresses as daemons do. */
 export async function startProgram(
   programArguments: readonly string[],
   addressNames: readonly string[],
@@ -99,14 +100,16 @@
   createInterface({ input: child.stderr! }).on('line', (line) => log.push(line));
   const lines = createInterface({ input: child.stdout! });
   await new Promise<void>((resolve, reject) => {
-    // A daemon that logs too little for what is waited for would hang its user without a word.
-    const limit = setTimeout(() => {
+    // Without a timeout a daemon that never logs the expected events would block its test silently.
+    const timeout = setTimeout(() => {
       child.kill('SIGKILL');
-      reject(new Error(`no ${names.join(', ')} in ${START_LIMIT_MS} ms:\n${log.join('\n')}`));
-    }, START_LIMIT_MS);
+      reject(
+        new Error(`missing ${names.join(', ')} after ${START_TIMEOUT_MS} ms:\n${log.join('\n')}`),
+      );
+    }, START_TIMEOUT_MS);
     child.once('exit', () => {
-      clearTimeout(limit);
-      reject(new Error(`daemon ended at its start:\n${log.join('\n')}`));
+      clearTimeout(timeout);
+      reject(new Error(`the daemon exited during its start:\n${log.join('\n')}`));
     });
     lines.on('line', (line) => {
       if (log.length < MAX_LOG_LINES) log.push(line);
@@ -114,7 +117,7 @@
       if (record === undefined) return;
       addresses.set(record.name ?? '', record.address ?? '');
       if (!names.every((name) => addresses.has(name))) return;
-      clearTimeout(limit);
+      clearTimeout(timeout);
       resolve();
     });
   });
--- a/packages/sequoiarill-testing/src/fleet.ts
+++ b/packages/sequoiarill-testing/src/fleet.ts
@@ -1,4 +1,4 @@
-/** A small deployment as separate processes: platform, engines, services and routers. */
+/** Starts a small deployment as separate processes: platform, engines, services and routers. */
 import * as Demo from '@sequoiarill/demo';
 import * as Kernel from '@sequoiarill/kernel';
 import * as Platform from '@sequoiarill/plugin-platform';
@@ -11,23 +11,23 @@
   readonly engines: number;
   readonly services?: number;
   readonly routers?: number;
-  /** Members are spread over so many zones, in turn. */
+  /** Number of zones, to which the members are assigned in turn. */
   readonly zones?: number;
   readonly preference?: ResumePreference;
   readonly checksFencing?: boolean;
   readonly checksIdempotencyKey?: boolean;
   readonly slots?: number;
-  /** More keys of the engines' `[engine]` section. */
+  /** Additional keys of the engines' `[engine]` section. */
   readonly engineSettings?: Readonly<Record<string, string | number>>;
-  /** More sections, or more keys of sections, of each router. */
+  /** Additional sections of each router, or additional keys of its sections. */
   readonly routerSettings?: IniSettings;
 }
 
 export interface FleetRouter {
   readonly daemon: Daemon;
-  /** `http://IP:port` towards callers. */
+  /** Base URL for callers, `http://IP:port`. */
   readonly callers: string;
-  /** `IP:port` towards operators. */
+  /** Address of the operators' interface, `IP:port`. */
   readonly operators: string;
 }
 
@@ -38,13 +38,13 @@
   readonly engines: readonly Daemon[];
   readonly services: readonly Daemon[];
   readonly routers: readonly FleetRouter[];
-  /** Starts an engine that was killed anew, at its old address and without memory. */
+  /** Restarts an engine at its old address with empty caches; ends the old process first. */
   readonly startEngine: (index: number) => Promise<void>;
   readonly stop: () => Promise<void>;
 }
 
-const LOCAL = '127.0.0.1:0';
-/** Signs what routers tell each other; any 32 bytes serve a test. */
+const ANY_LOCAL_PORT = '127.0.0.1:0';
+/** Authenticates calls between routers; any 32 bytes are sufficient for a test. */
 const SHARED_KEY = '5a'.repeat(32);
 const DOCUMENT_KEY = 'sections/fleet';
 
@@ -62,7 +62,7 @@
   settings: Readonly<Record<string, string | number>>,
 ): Promise<Daemon[]> {
   const starts = Array.from({ length: count }, () =>
-    Daemons.startDaemon(kind, { [kind]: { listen: LOCAL, ...settings } }, ['']),
+    Daemons.startDaemon(kind, { [kind]: { listen: ANY_LOCAL_PORT, ...settings } }, ['']),
   );
   return Promise.all(starts);
 }
@@ -75,18 +75,18 @@
   }));
 }
 
-/** Writes the fleet's one section, in place of what was there. */
+/** Writes the document's only section, replacing its previous text. */
 export async function writeDocument(platformAddress: string, text: string): Promise<void> {
   const settings = Platform.platformSchema.parse({ endpoints: platformAddress });
   const connection = Platform.openPlatform(settings, Kernel.createMetrics(undefined, {}));
-  const known = await connection.store.readKey(DOCUMENT_KEY);
-  const revision = known.kind === 'range' ? (known.entries[0]?.revision ?? 0) : 0;
+  const existing = await connection.store.readKey(DOCUMENT_KEY);
+  const revision = existing.kind === 'range' ? (existing.entries[0]?.revision ?? 0) : 0;
   const outcome = await connection.store.writeTransaction({
     comparisons: [{ key: DOCUMENT_KEY, revision }],
     writes: [{ key: DOCUMENT_KEY, value: text }],
   });
   await connection.close();
-  if (outcome.kind !== 'written') throw new Error(`the document was not written: ${outcome.kind}`);
+  if (outcome.kind !== 'written') throw new Error(`document not written: ${outcome.kind}`);
 }
 
 export async function startRouter(
@@ -94,17 +94,17 @@
   zones: number,
   platformAddress: string,
   seeds: readonly string[],
-  more: IniSettings = {},
+  extraSettings: IniSettings = {},
 ): Promise<FleetRouter> {
   const settings: Record<string, Readonly<Record<string, string | number>>> = {
     process: { name: `router-${index + 1}`, zone: getZone(index, zones), region: 'region-1' },
     telemetry: { logLevel: 'info' },
     platform: { endpoints: platformAddress },
-    callers: { listen: LOCAL },
-    operators: { listen: LOCAL },
-    membership: { listen: LOCAL, seeds: seeds.join(','), sharedKey: SHARED_KEY },
+    callers: { listen: ANY_LOCAL_PORT },
+    operators: { listen: ANY_LOCAL_PORT },
+    membership: { listen: ANY_LOCAL_PORT, seeds: seeds.join(','), sharedKey: SHARED_KEY },
   };
-  for (const [section, keys] of Object.entries(more)) {
+  for (const [section, keys] of Object.entries(extraSettings)) {
     settings[section] = { ...settings[section], ...keys };
   }
   const names = ['callers.listening', 'operators.listening', 'process.ready'];
@@ -122,7 +122,9 @@
 
 export async function startFleet(options: FleetOptions): Promise<Fleet> {
   const zones = options.zones ?? 1;
-  const platform = await Daemons.startDaemon('platform', { platform: { listen: LOCAL } }, ['']);
+  const platform = await Daemons.startDaemon('platform', { platform: { listen: ANY_LOCAL_PORT } }, [
+    '',
+  ]);
   const platformAddress = getStandinAddress(platform);
   const engineSettings = {
     models: Demo.MODEL,
@@ -150,8 +152,8 @@
   const routers: FleetRouter[] = [];
   for (let index = 0; index < (options.routers ?? 1); index += 1) {
     const seeds = routers.flatMap((router) => getPeerAddress(router) ?? []);
-    const more = options.routerSettings;
-    routers.push(await startRouter(index, zones, platformAddress, seeds, more));
+    const extraSettings = options.routerSettings;
+    routers.push(await startRouter(index, zones, platformAddress, seeds, extraSettings));
   }
 
   async function startEngine(index: number): Promise<void> {
@@ -167,7 +169,7 @@
   async function stop(): Promise<void> {
     const routerDaemons = routers.map(({ daemon }) => daemon);
     const daemons = [platform, ...engines, ...services, ...routerDaemons];
-    // SIGCONT first: a daemon that a test paused would never see its end.
+    // A daemon that a test has paused must be continued first to be able to exit.
     daemons.forEach((daemon) => daemon.send('SIGCONT'));
     await Promise.all(daemons.map((daemon) => daemon.stop('SIGKILL')));
   }
--- a/packages/sequoiarill-testing/src/index.ts
+++ b/packages/sequoiarill-testing/src/index.ts
@@ -1,4 +1,4 @@
-/** Starts routers and stand-ins as processes, for tests and measurements. */
+/** Starts routers and stand-ins as separate processes, for tests and measurements. */
 export * from './answers';
 export * from './daemons';
 export * from './fleet';
--- a/packages/sequoiarill-testing/src/journals.ts
+++ b/packages/sequoiarill-testing/src/journals.ts
@@ -1,4 +1,4 @@
-/** Asks a router what it decided for a request. */
+/** Reads the decision journal of a request from a router. */
 import * as Undici from 'undici';
 
 import type { FleetRouter } from './fleet';
@@ -21,10 +21,10 @@
   return body.entries ?? [];
 }
 
-/** Index in the fleet of the engine that runs the request now. */
+/** Finds the index of the engine that runs the request now. */
 export async function findEngine(router: FleetRouter, requestId: string): Promise<number> {
   const entries = await readJournal(router, requestId);
   const target = entries.filter(({ kind }) => kind === 'dispatched').at(-1)?.details.target;
-  if (target === undefined) throw new Error(`no engine was asked for request ${requestId}`);
+  if (target === undefined) throw new Error(`no engine got request ${requestId}`);
   return Number(target.split('-').at(-1)) - 1;
 }
--- a/packages/sequoiarill-testing/src/matrix/callerCells.ts
+++ b/packages/sequoiarill-testing/src/matrix/callerCells.ts
@@ -1,4 +1,4 @@
-/** Cells of a generation whose caller leaves or cancels, or whose router stops as planned. */
+/** Cells of a generation whose caller disconnects or cancels, or whose router stops as planned. */
 import * as Undici from 'undici';
 
 import type { ReadAnswer } from '../answers';
@@ -7,102 +7,107 @@
 import * as GenerationSteps from './generationSteps';
 import type { StepRunner } from './generationSteps';
 import * as Waiting from './waiting';
-import * as Worlds from './world';
-import type { World } from './world';
+import * as Deployments from './deployment';
+import type { Deployment } from './deployment';
 
-/** Nothing is generated for anyone: no engine works, no router waits for one. */
-export async function waitForIdle(world: World): Promise<void> {
+/** Waits until no engine and no router has a running generation. */
+export async function waitForIdle(deployment: Deployment): Promise<void> {
   await Waiting.waitUntil('every engine is idle', () =>
-    world.engines.every((engine) => {
+    deployment.engines.every((engine) => {
       const { running, waiting } = engine.getLoad();
       return running === 0 && waiting === 0;
     }),
   );
   await Waiting.waitUntil('the router is idle', async () => {
-    const { running } = await world.routers[0]!.dumpPlugin('generations');
-    return running === 0 && (await Worlds.countOpenRequests(world.routers[0]!)) === 0;
+    const { running } = await deployment.routers[0]!.dumpPlugin('generations');
+    return running === 0 && (await Deployments.countOpenRequests(deployment.routers[0]!)) === 0;
   });
 }
 
-async function removeFaults(world: World): Promise<void> {
-  world.engineLink.heal();
-  world.engineLink.reset();
-  await world.platform.setFault({ kind: 'up' });
-  await world.engines[0]!.setFault({ kind: 'revive' });
+async function removeFaults(deployment: Deployment): Promise<void> {
+  deployment.engineLink.heal();
+  deployment.engineLink.reset();
+  await deployment.platform.setFault({ kind: 'up' });
+  await deployment.engines[0]!.setFault({ kind: 'revive' });
 }
 
-export interface LeavingRun {
-  readonly world: World;
-  /** The next answer of the same deployment, once the work that was left has ended. */
+export interface DisconnectRun {
+  readonly deployment: Deployment;
+  /** The next answer of the same deployment, read after the abandoned work has ended. */
   readonly next: ReadAnswer;
 }
 
-/** How long a response without a reader goes on in these tests, in milliseconds. */
-const GRACE_MS = 50;
-const LEAVING_OPTIONS = { routerSettings: { callers: { resumeGraceMs: GRACE_MS } } };
+/** Time for which a response without a reader continues in these tests. */
+const RESUME_GRACE_MS = 50;
+const DISCONNECT_OPTIONS = { routerSettings: { callers: { resumeGraceMs: RESUME_GRACE_MS } } };
 
-/** The caller leaves at the step; the engine goes on until it is told. */
-export async function runLeaving(
+/** Disconnects the caller at the step; the engine continues until its request is cancelled. */
+export async function runDisconnected(
   step: StepRunner,
-  check: (run: LeavingRun) => void,
+  check: (run: DisconnectRun) => void,
 ): Promise<void> {
-  const world = await Worlds.startWorld({ ...LEAVING_OPTIONS, ...step.options });
+  const deployment = await Deployments.startDeployment({ ...DISCONNECT_OPTIONS, ...step.options });
   const agent = new Undici.Agent();
   try {
-    const left = step.runStep(
-      world,
+    const abandoned = step.runStep(
+      deployment,
       async () => {
         await agent.destroy();
-        world.engineLink.heal();
-        await world.engines[0]!.setFault({ kind: 'heal' });
+        deployment.engineLink.heal();
+        await deployment.engines[0]!.setFault({ kind: 'heal' });
       },
       agent,
     );
-    await left.catch(() => undefined);
-    await waitForIdle(world);
-    const next = await Callers.readAnswer(world);
-    check({ world, next });
+    await abandoned.catch(() => undefined);
+    await waitForIdle(deployment);
+    const next = await Callers.readAnswer(deployment);
+    check({ deployment, next });
   } finally {
     await agent.destroy();
-    await world.stop();
+    await deployment.stop();
   }
 }
 
-/** The fault strikes in the middle of an answer, and its caller leaves right then. */
+/** Injects the fault in the middle of an answer and disconnects the caller immediately afterwards. */
 export async function runCancelled(
   fault: GenerationFault,
-  check: (run: LeavingRun) => void,
+  check: (run: DisconnectRun) => void,
 ): Promise<void> {
   const checksFencing = fault.code !== 'E5';
-  const world = await Worlds.startWorld({ checksFencing });
+  const deployment = await Deployments.startDeployment({ checksFencing });
   const agent = new Undici.Agent();
   try {
-    const waitForToken = await GenerationSteps.delayAtToken(world, GenerationSteps.EARLY_TOKENS);
-    const left = Callers.readAnswer(world, { dispatcher: agent });
+    const waitForToken = await GenerationSteps.delayAtToken(
+      deployment,
+      GenerationSteps.EARLY_TOKENS,
+    );
+    const abandoned = Callers.readAnswer(deployment, { dispatcher: agent });
     await waitForToken();
-    await fault.strike(world);
+    await fault.inject(deployment);
     await agent.destroy();
-    await left.catch(() => undefined);
-    if (fault.releasesEngine) await world.engines[0]!.setFault({ kind: 'unpause' });
-    await fault.follow?.(world, () => true);
-    await waitForIdle(world);
-    await removeFaults(world);
-    const next = await Callers.readAnswer(world);
-    check({ world, next });
+    await abandoned.catch(() => undefined);
+    if (fault.releasesEngine) await deployment.engines[0]!.setFault({ kind: 'unpause' });
+    await fault.followUp?.(deployment, () => true);
+    await waitForIdle(deployment);
+    await removeFaults(deployment);
+    const next = await Callers.readAnswer(deployment);
+    check({ deployment, next });
   } finally {
     await agent.destroy();
-    await world.stop();
+    await deployment.stop();
   }
 }
 
-/** Status and `Retry-After` of a request that comes while the router drains. */
+/** Status and `Retry-After` of a request that arrives while the router drains. */
 export interface DrainingRefusal {
   readonly status: number;
   readonly retryAfter: string | undefined;
 }
 
-/** Undefined once the router has drained and takes no connection any more. */
-export async function sendWhileDraining(world: World): Promise<DrainingRefusal | undefined> {
-  const answer = await Callers.readAnswer(world).catch(() => undefined);
+/** Returns undefined if the router has drained already and accepts no connections. */
+export async function sendWhileDraining(
+  deployment: Deployment,
+): Promise<DrainingRefusal | undefined> {
+  const answer = await Callers.readAnswer(deployment).catch(() => undefined);
   return answer && { status: answer.status, retryAfter: answer.retryAfter };
 }
--- a/packages/sequoiarill-testing/src/matrix/callers.ts
+++ b/packages/sequoiarill-testing/src/matrix/callers.ts
@@ -1,13 +1,13 @@
-/** Callers of the matrix tests: whole answers, held requests, and responses that are resumed. */
+/** Callers of the matrix tests: complete answers, delayed request bodies, and resumed responses. */
 import * as Demo from '@sequoiarill/demo';
 import * as Undici from 'undici';
 
 import * as EventStreams from '../eventStream';
 import * as Answers from '../answers';
 import type { ReadAnswer } from '../answers';
-import type { World } from './world';
+import type { Deployment } from './deployment';
 
-/** Tokens of an answer in the matrix. */
+/** Number of tokens of an answer in the matrix. */
 export const MAX_TOKENS = 40;
 export const PROMPT = 'Which size fits a narrow foot with a high instep?';
 
@@ -20,10 +20,13 @@
 }
 
 /** Streams one chat completion to its end. */
-export async function readAnswer(world: World, options: CallOptions = {}): Promise<ReadAnswer> {
+export async function readAnswer(
+  deployment: Deployment,
+  options: CallOptions = {},
+): Promise<ReadAnswer> {
   return Answers.readAnswer({
-    url: world.routers[options.router ?? 0]!.callers,
-    apiKey: world.apiKey,
+    url: deployment.routers[options.router ?? 0]!.callers,
+    apiKey: deployment.apiKey,
     prompt: options.prompt ?? PROMPT,
     maxTokens: options.maxTokens ?? MAX_TOKENS,
     ...(options.onText && { onText: options.onText }),
@@ -31,8 +34,8 @@
   });
 }
 
-/** Sends the first half of each body, and the rest once `released` resolves. */
-export function createHoldingDispatcher(
+/** Sends the first half of each body at once, and the second half when `released` resolves. */
+export function createDelayingDispatcher(
   agent: Undici.Agent,
   released: Promise<void>,
 ): Undici.Dispatcher {
@@ -54,7 +57,7 @@
   readonly responseId: string;
   readonly text: string;
   readonly lastSequence: number;
-  /** Of the last event, if the response ended. */
+  /** Status in the last event, if the response has ended. */
   readonly status: string | undefined;
   readonly completionTokens: number | undefined;
   readonly httpStatus: number;
@@ -73,26 +76,29 @@
 
 export interface ResponseOptions {
   readonly router?: number;
-  /** Leaves after so many pieces of text. */
-  readonly leaveAfter?: number;
-  /** Resumes after the event of this part. */
-  readonly after?: ResponsePart;
-  /** Stops reading after so many pieces of text, until `resumed` resolves. */
+  /** Disconnects after this number of pieces of text. */
+  readonly disconnectAfter?: number;
+  /** Resumes the response after the last event of this part. */
+  readonly resumeFrom?: ResponsePart;
+  /** Stops reading after this number of pieces of text, until `resumed` resolves. */
   readonly pauseAfter?: number;
   readonly resumed?: Promise<void>;
   readonly maxTokens?: number;
-  /** Of its own, closed at the end, unless given. */
+  /** Destroyed at the end; by default the response gets a new agent. */
   readonly agent?: Undici.Agent;
 }
 
-/** Opens a response, or resumes one, and reads until it ends or the caller leaves. */
-export async function readResponse(world: World, options: ResponseOptions): Promise<ResponsePart> {
+/** Opens or resumes a response, and reads until it ends or the caller disconnects. */
+export async function readResponse(
+  deployment: Deployment,
+  options: ResponseOptions,
+): Promise<ResponsePart> {
   const agent = options.agent ?? new Undici.Agent();
-  const answer = await sendResponseRequest(world, options, agent);
+  const answer = await sendResponseRequest(deployment, options, agent);
   let part: ResponsePart = {
-    responseId: options.after?.responseId ?? '',
+    responseId: options.resumeFrom?.responseId ?? '',
     text: '',
-    lastSequence: options.after?.lastSequence ?? -1,
+    lastSequence: options.resumeFrom?.lastSequence ?? -1,
     status: undefined,
     completionTokens: undefined,
     httpStatus: answer.statusCode,
@@ -102,7 +108,7 @@
     for await (const event of EventStreams.readEventStream<ResponseEvent>(answer.body)) {
       part = mergeEvent(part, event);
       if (event.delta !== undefined) pieces += 1;
-      if (pieces === options.leaveAfter) break;
+      if (pieces === options.disconnectAfter) break;
       if (pieces === options.pauseAfter) await options.resumed;
     }
   } finally {
@@ -112,16 +118,22 @@
 }
 
 async function sendResponseRequest(
-  world: World,
+  deployment: Deployment,
   options: ResponseOptions,
   agent: Undici.Agent,
 ): Promise<Undici.Dispatcher.ResponseData> {
-  const url = `${world.routers[options.router ?? 0]!.callers}/v1/responses`;
-  const headers = { authorization: `Bearer ${world.apiKey}`, 'content-type': 'application/json' };
-  const { after } = options;
-  if (after !== undefined) {
-    const query = `stream=true&starting_after=${after.lastSequence}`;
-    return Undici.request(`${url}/${after.responseId}?${query}`, { headers, dispatcher: agent });
+  const url = `${deployment.routers[options.router ?? 0]!.callers}/v1/responses`;
+  const headers = {
+    authorization: `Bearer ${deployment.apiKey}`,
+    'content-type': 'application/json',
+  };
+  const { resumeFrom } = options;
+  if (resumeFrom !== undefined) {
+    const query = `stream=true&starting_after=${resumeFrom.lastSequence}`;
+    return Undici.request(`${url}/${resumeFrom.responseId}?${query}`, {
+      headers,
+      dispatcher: agent,
+    });
   }
   const body = {
     model: Demo.MODEL,
--- a/packages/sequoiarill-testing/src/matrix/cells.ts
+++ b/packages/sequoiarill-testing/src/matrix/cells.ts
@@ -1,12 +1,12 @@
 /**
- * The fault matrix as data: which faults are tried at which step. A cell is proved by the test whose
- * name begins with the cell's id, and by nothing else.
+ * Defines the fault matrix: which faults are tested at which step. A cell is proved only by the test
+ * whose name begins with the cell's id.
  */
 import * as Steps from './steps';
 import type { FaultCode, GenerationStep, OrderStep } from './steps';
 
 export interface Cell {
-  /** Such as `G5-E1`; the name of its test begins with it. */
+  /** For example `G5-E1`; the name of the cell's test begins with it. */
   readonly id: string;
   readonly step: string;
   readonly fault: string;
@@ -23,34 +23,34 @@
   'Z1',
   ...PLATFORM_FAULTS,
 ] as const;
-const PAIRS = ['X1', 'X2', 'X3', 'T1', 'T2'] as const;
+const FAULT_PAIRS = ['X1', 'X2', 'X3', 'T1', 'T2'] as const;
 
-/** Before an engine has the request, it can't answer late for it. */
-const BEFORE_TARGET: readonly FaultCode[] = COMMON_FAULTS.filter((code) => code !== 'E5');
+/** Excludes E5: a target that has not got the request yet can't answer it late. */
+const FAULTS_BEFORE_TARGET: readonly FaultCode[] = COMMON_FAULTS.filter((code) => code !== 'E5');
 
 const FAULTS_BY_GENERATION_STEP: Readonly<Record<GenerationStep, readonly FaultCode[]>> = {
-  G1: [...BEFORE_TARGET, 'C1'],
-  G2: [...BEFORE_TARGET, 'C1'],
+  G1: [...FAULTS_BEFORE_TARGET, 'C1'],
+  G2: [...FAULTS_BEFORE_TARGET, 'C1'],
   G3: [...COMMON_FAULTS, 'C1'],
   G4: [...COMMON_FAULTS, 'C1', 'X1', 'X2', 'T1'],
-  G5: [...COMMON_FAULTS, 'C1', 'C2', 'C3', ...PAIRS],
-  G6: [...COMMON_FAULTS, 'C1', 'C2', 'C3', ...PAIRS],
+  G5: [...COMMON_FAULTS, 'C1', 'C2', 'C3', ...FAULT_PAIRS],
+  G6: [...COMMON_FAULTS, 'C1', 'C2', 'C3', ...FAULT_PAIRS],
   G7: [...COMMON_FAULTS, 'C1', 'X1', 'X3'],
   G8: [...COMMON_FAULTS, 'C1', 'C2', 'X1'],
-  // The caller has gone in this step already.
+  // The caller has already disconnected in this step.
   G9: COMMON_FAULTS,
   G10: [...COMMON_FAULTS, 'C1', 'C3', 'X1', 'X2'],
 };
 
 const FAULTS_BY_ORDER_STEP: Readonly<Record<OrderStep, readonly FaultCode[]>> = {
-  O1: [...BEFORE_TARGET, 'C1'],
-  O2: [...BEFORE_TARGET, 'C1', 'X1'],
+  O1: [...FAULTS_BEFORE_TARGET, 'C1'],
+  O2: [...FAULTS_BEFORE_TARGET, 'C1', 'X1'],
   O3: [...COMMON_FAULTS, 'C1', 'X1', 'X3'],
   O4: [...COMMON_FAULTS, 'C1', 'X1', 'X3'],
   O5: [...COMMON_FAULTS, 'C1', 'X1'],
-  O6: [...BEFORE_TARGET, 'T1'],
-  O7: [...BEFORE_TARGET, 'T1'],
-  O8: BEFORE_TARGET,
+  O6: [...FAULTS_BEFORE_TARGET, 'T1'],
+  O7: [...FAULTS_BEFORE_TARGET, 'T1'],
+  O8: FAULTS_BEFORE_TARGET,
 };
 
 function listStepCells(
@@ -66,7 +66,7 @@
   );
 }
 
-/** All cells, generations first, in the order of the steps and the faults. */
+/** All cells, generations first, ordered by step and fault. */
 export const CELLS: readonly Cell[] = [
   ...listStepCells(Steps.GENERATION_STEPS, FAULTS_BY_GENERATION_STEP),
   ...listStepCells(Steps.ORDER_STEPS, FAULTS_BY_ORDER_STEP),
@@ -74,7 +74,7 @@
 
 const cellsById: ReadonlyMap<string, Cell> = new Map(CELLS.map((cell) => [cell.id, cell]));
 
-/** The name of a cell's test; an id that is no cell is a mistake of the test. */
+/** Formats the name of a cell's test; throws for an unknown id, which is a mistake in the test. */
 export function formatTestName(id: string): string {
   const cell = cellsById.get(id);
   if (cell === undefined) throw new Error(`the fault matrix has no cell "${id}"`);
--- a/packages/sequoiarill-testing/src/matrix/world.ts
+++ b/packages/sequoiarill-testing/src/matrix/deployment.ts
@@ -1,4 +1,4 @@
-/** A small deployment inside the test's process: stand-ins, and routers with every plug-in. */
+/** Starts a small deployment inside the test's process: stand-ins, and routers with every plug-in. */
 import * as Demo from '@sequoiarill/demo';
 import * as Kernel from '@sequoiarill/kernel';
 import * as Standins from '@sequoiarill/standins';
@@ -10,7 +10,7 @@
 import type { IniSettings } from '../daemons';
 import * as Fleets from '../fleet';
 
-export interface WorldOptions {
+export interface DeploymentOptions {
   readonly engines?: number;
   readonly services?: number;
   readonly routers?: number;
@@ -18,21 +18,21 @@
   readonly checksIdempotencyKey?: boolean;
   readonly preference?: ResumePreference;
   readonly slots?: number;
-  /** Output tokens that the model allows. */
+  /** Limit of the model on output tokens. */
   readonly maxOutputTokens?: number;
-  /** Time for one order, in milliseconds. */
+  /** Timeout of the services for one order. */
   readonly serviceTimeoutMs?: number;
   readonly engineSettings?: Standins.EngineSettingsInput;
   readonly routerSettings?: IniSettings;
 }
 
-export interface WorldRouter {
+export interface DeploymentRouter {
   readonly router: Sequoiarill.Router;
-  /** `http://IP:port` towards callers. */
+  /** Base URL for callers, `http://IP:port`. */
   readonly callers: string;
-  /** Part of the state dump. */
+  /** Returns the plug-in's section of the state dump. */
   readonly dumpPlugin: (name: string) => Promise<Readonly<Record<string, unknown>>>;
-  /** What the router decided for a request. */
+  /** Returns the decision journal of a request. */
   readonly explainRequest: (requestId: string) => Promise<readonly JournalLine[]>;
 }
 
@@ -41,8 +41,8 @@
   readonly details?: Readonly<Record<string, unknown>>;
 }
 
-/** The first engine and the first service are the ones that faults strike, each behind a link. */
-export interface World {
+/** Faults are injected at the first engine and the first service, each of which is behind a link. */
+export interface Deployment {
   readonly apiKey: string;
   readonly platformAddress: string;
   readonly platform: Standins.PlatformStandin;
@@ -50,18 +50,18 @@
   readonly engineLink: Standins.LinkStandin;
   readonly services: readonly Standins.ServiceStandin[];
   readonly serviceLink: Standins.LinkStandin;
-  readonly routers: readonly WorldRouter[];
+  readonly routers: readonly DeploymentRouter[];
   readonly stop: () => Promise<void>;
 }
 
-/** The routers and the engine that faults strike are in this zone, the other engines are not. */
-const HOME_ZONE = 'zone-1';
+/** Zone of the routers and of the first engine and service; the others are in the remote zone. */
+const LOCAL_ZONE = 'zone-1';
 const OTHER_ZONE = 'zone-2';
-const LOCAL = '127.0.0.1:0';
+const ANY_LOCAL_PORT = '127.0.0.1:0';
 const SHARED_KEY = '5a'.repeat(32);
 const CURSOR_KEY = 'c5'.repeat(32);
 const STEP_MS = 2;
-/** Slow, so that there is time between a dispatch and its first token. */
+/** Slow, so that the time between a dispatch and the first token suffices to inject a fault. */
 const PREFILL_TOKENS_PER_SECOND = 400;
 
 export const ENGINE_DEFAULTS: Standins.EngineSettingsInput = {
@@ -71,11 +71,11 @@
   prefillTokensPerSecond: PREFILL_TOKENS_PER_SECOND,
 };
 
-/** Short, so that an order whose answer never comes ends its test soon. */
+/** Short, so that tests of orders without an answer end soon. */
 const SERVICE_TIMEOUT_MS = 1_000;
 
-/** The document of the demonstration, with limits that suit tests. */
-function setLimits(text: string, options: WorldOptions): string {
+/** Adapts the limits of the demo document to the test. */
+function setLimits(text: string, options: DeploymentOptions): string {
   const section = JSON.parse(text) as {
     services: Record<string, Record<string, unknown>>;
     models: Record<string, Record<string, unknown>>;
@@ -92,7 +92,7 @@
 function listMembers(kind: string, addresses: readonly string[]): Demo.FleetMember[] {
   return addresses.map((address, index) => ({
     name: `${kind}-${index + 1}`,
-    zone: index === 0 ? HOME_ZONE : OTHER_ZONE,
+    zone: index === 0 ? LOCAL_ZONE : OTHER_ZONE,
     address,
   }));
 }
@@ -104,22 +104,22 @@
   return started.map(({ address }) => address);
 }
 
-async function startWorldRouter(
+async function startDeploymentRouter(
   index: number,
   platformAddress: string,
-  more: IniSettings,
-): Promise<WorldRouter> {
+  extraSettings: IniSettings,
+): Promise<DeploymentRouter> {
   const settings: Record<string, Readonly<Record<string, string | number>>> = {
-    process: { name: `router-${index + 1}`, zone: HOME_ZONE, region: 'region-1' },
+    process: { name: `router-${index + 1}`, zone: LOCAL_ZONE, region: 'region-1' },
     telemetry: { logLevel: 'silent' },
     platform: { endpoints: platformAddress },
-    callers: { listen: LOCAL, cursorKey: CURSOR_KEY },
-    // A queued request must outlast the fault that is played meanwhile, also on a busy machine.
+    callers: { listen: ANY_LOCAL_PORT, cursorKey: CURSOR_KEY },
+    // A queued request must outlast the injected fault, also on a busy machine.
     generations: { maxQueueMs: 20_000 },
-    operators: { listen: LOCAL },
-    membership: { listen: LOCAL, sharedKey: SHARED_KEY },
+    operators: { listen: ANY_LOCAL_PORT },
+    membership: { listen: ANY_LOCAL_PORT, sharedKey: SHARED_KEY },
   };
-  for (const [section, keys] of Object.entries(more)) {
+  for (const [section, keys] of Object.entries(extraSettings)) {
     settings[section] = { ...settings[section], ...keys };
   }
   const parsed = Sequoiarill.parseSettings(Daemons.formatIni(settings), 'matrix settings');
@@ -145,8 +145,8 @@
   return { router, callers: `http://${String(callers)}`, dumpPlugin, explainRequest };
 }
 
-/** Starts everything; the caller of this stops it. */
-export async function startWorld(options: WorldOptions = {}): Promise<World> {
+/** Starts all components; the caller has to call `stop`. */
+export async function startDeployment(options: DeploymentOptions = {}): Promise<Deployment> {
   const { checksFencing = true, checksIdempotencyKey = false } = options;
   const platform = Standins.createPlatformStandin();
   const engines = Array.from({ length: options.engines ?? 3 }, () =>
@@ -173,9 +173,9 @@
     ...(options.slots !== undefined && { slots: options.slots }),
   });
   await Fleets.writeDocument(platformAddress, setLimits(document, options));
-  const routers: WorldRouter[] = [];
+  const routers: DeploymentRouter[] = [];
   for (let index = 0; index < (options.routers ?? 1); index += 1) {
-    routers.push(await startWorldRouter(index, platformAddress, options.routerSettings ?? {}));
+    routers.push(await startDeploymentRouter(index, platformAddress, options.routerSettings ?? {}));
   }
 
   async function stop(): Promise<void> {
@@ -197,8 +197,8 @@
   };
 }
 
-/** Requests that a router has open, whatever they wait for. */
-export async function countOpenRequests(router: WorldRouter): Promise<number> {
+/** Counts the open requests of a router in any state. */
+export async function countOpenRequests(router: DeploymentRouter): Promise<number> {
   const { requests } = await router.dumpPlugin('callers');
   const counts = Object.values(requests as Readonly<Record<string, number>>);
   return counts.reduce((sum, count) => sum + count, 0);
--- a/packages/sequoiarill-testing/src/matrix/generationCells.ts
+++ b/packages/sequoiarill-testing/src/matrix/generationCells.ts
@@ -1,71 +1,75 @@
-/** Runs one cell of a generation: the undisturbed answer once, then the answer under the fault. */
+/** Runs one cell of a generation: reads the undisturbed answer once, then the answer under the fault. */
 import * as Undici from 'undici';
 
 import type { ReadAnswer } from '../answers';
 import * as Callers from './callers';
 import type { GenerationFault } from './generationFaults';
 import type { StepRunner } from './generationSteps';
-import * as Worlds from './world';
-import type { World, WorldOptions } from './world';
+import * as Deployments from './deployment';
+import type { Deployment, DeploymentOptions } from './deployment';
 
 export interface CellRun {
   readonly answers: readonly ReadAnswer[];
-  readonly calm: ReadAnswer;
-  readonly world: World;
+  readonly baseline: ReadAnswer;
+  readonly deployment: Deployment;
 }
 
-let calmAnswer: Promise<ReadAnswer> | undefined;
+let baselineAnswer: Promise<ReadAnswer> | undefined;
 
-async function runCalm(): Promise<ReadAnswer> {
-  const world = await Worlds.startWorld();
+async function runBaseline(): Promise<ReadAnswer> {
+  const deployment = await Deployments.startDeployment();
   try {
-    return await Callers.readAnswer(world);
+    return await Callers.readAnswer(deployment);
   } finally {
-    await world.stop();
+    await deployment.stop();
   }
 }
 
-/** The answer of a deployment without faults; made once. */
-export async function readCalmAnswer(): Promise<ReadAnswer> {
-  calmAnswer ??= runCalm();
-  return calmAnswer;
+/** Returns the answer of a deployment without faults, which is read once and cached. */
+export async function readBaselineAnswer(): Promise<ReadAnswer> {
+  baselineAnswer ??= runBaseline();
+  return baselineAnswer;
 }
 
-/** Engines asked for one answer, as the router's journal has it. */
-export async function countDispatches(world: World, requestId: string): Promise<number> {
-  const lines = await world.routers[0]!.explainRequest(requestId);
+/** Counts the engines that got the request, by the router's decision journal. */
+export async function countDispatches(deployment: Deployment, requestId: string): Promise<number> {
+  const lines = await deployment.routers[0]!.explainRequest(requestId);
   return lines.filter(({ kind }) => kind === 'dispatched').length;
 }
 
-/** The world still runs while `check` looks at it, and is stopped afterwards. */
+/** Runs the cell; the deployment is stopped only after `check` has returned. */
 export async function runCell(
   step: StepRunner,
   fault: GenerationFault,
   check: (run: CellRun) => Promise<void> | void,
-  more: WorldOptions = {},
+  extraOptions: DeploymentOptions = {},
 ): Promise<void> {
-  const calm = await readCalmAnswer();
-  const world = await Worlds.startWorld({ engines: 4, ...step.options, ...more });
+  const baseline = await readBaselineAnswer();
+  const deployment = await Deployments.startDeployment({
+    engines: 4,
+    ...step.options,
+    ...extraOptions,
+  });
   const agent = new Undici.Agent();
   let isDone = false;
-  let followed: Promise<void> | undefined;
+  let followUpTask: Promise<void> | undefined;
   try {
     const answers = await step.runStep(
-      world,
+      deployment,
       async () => {
-        await fault.strike(world);
-        if (fault.releasesEngine) await world.engines[0]!.setFault({ kind: 'unpause' });
-        followed = fault.follow?.(world, () => isDone);
-        followed?.catch(() => undefined);
+        await fault.inject(deployment);
+        if (fault.releasesEngine) await deployment.engines[0]!.setFault({ kind: 'unpause' });
+        followUpTask = fault.followUp?.(deployment, () => isDone);
+        followUpTask?.catch(() => undefined);
       },
       agent,
     );
     isDone = true;
-    await followed;
-    await check({ answers, calm, world });
+    await followUpTask;
+    await check({ answers, baseline, deployment });
   } finally {
     isDone = true;
     await agent.destroy();
-    await world.stop();
+    await deployment.stop();
   }
 }
--- a/packages/sequoiarill-testing/src/matrix/generationFaults.ts
+++ b/packages/sequoiarill-testing/src/matrix/generationFaults.ts
@@ -1,100 +1,109 @@
-/** The faults that a generation's step is struck by, over the stand-ins of one world. */
+/** The faults injected at the steps of a generation, through the stand-ins of one deployment. */
 import type { FaultCode } from './steps';
 import * as Waiting from './waiting';
-import type { World } from './world';
+import type { Deployment } from './deployment';
 
 export interface GenerationFault {
   readonly code: FaultCode;
-  /** Brings the fault about; the engine that has the work stands still at the step meanwhile. */
-  readonly strike: (world: World) => Promise<void>;
-  /** Whether the engine moves on after the strike. */
+  /** Injects the fault, while the engine that runs the request is held at the step. */
+  readonly inject: (deployment: Deployment) => Promise<void>;
+  /** Whether the engine continues after the injection. */
   readonly releasesEngine: boolean;
-  /** What comes later, such as waking; `isDone` once the answer has ended. */
-  readonly follow?: (world: World, isDone: () => boolean) => Promise<void>;
-  /** Engines that are asked for an answer struck in the middle; undefined where it may vary. */
+  /** Later changes, such as resuming a process; `isDone` is true once the answer has ended. */
+  readonly followUp?: (deployment: Deployment, isDone: () => boolean) => Promise<void>;
+  /**
+   * Number of engines that get the request if the fault is injected in the middle of the answer;
+   * undefined where it may vary.
+   */
   readonly dispatches?: number;
 }
 
-/** Two of these are far from the shortest stall limit, so that a slow engine is not a lost one. */
+/**
+ * Two such delays are far below the shortest stall limit, so that a slow engine does not count as
+ * stalled.
+ */
 const SLOW_FACTOR = 10;
 const PLATFORM_SLOW_MS = 300;
 
-async function failEngine(world: World): Promise<void> {
-  await world.engines[0]!.setFault({ kind: 'die' });
-  // What the link still holds of a dead engine is gone with it.
-  world.engineLink.reset();
-  world.engineLink.heal();
+async function failEngine(deployment: Deployment): Promise<void> {
+  await deployment.engines[0]!.setFault({ kind: 'die' });
+  // Output that the link still buffers is lost together with the engine.
+  deployment.engineLink.reset();
+  deployment.engineLink.heal();
 }
 
-/** Another engine has the work, or the answer needed none. */
-async function resumeAfterTakeover(world: World, isDone: () => boolean): Promise<void> {
-  await waitForTakeover(world, isDone);
-  await world.engines[0]!.setFault({ kind: 'unpause' });
+/** Resumes the engine after another one has taken over, or after the answer has ended without that. */
+async function resumeAfterTakeover(deployment: Deployment, isDone: () => boolean): Promise<void> {
+  await waitForTakeover(deployment, isDone);
+  await deployment.engines[0]!.setFault({ kind: 'unpause' });
 }
 
-async function waitForTakeover(world: World, isDone: () => boolean): Promise<void> {
-  const others = world.engines.slice(1);
+async function waitForTakeover(deployment: Deployment, isDone: () => boolean): Promise<void> {
+  const others = deployment.engines.slice(1);
   await Waiting.waitUntil(
     'another engine takes over',
     () => isDone() || others.some((engine) => engine.getCounters().requests > 0),
   );
 }
 
-/** The engine that has the work now, other than the first one. */
-async function findSuccessor(world: World): Promise<World['engines'][number] | undefined> {
-  const others = world.engines.slice(1);
+/** Finds the engine, other than the first one, that runs the request now. */
+async function findSuccessor(
+  deployment: Deployment,
+): Promise<Deployment['engines'][number] | undefined> {
+  const others = deployment.engines.slice(1);
   return others.find((engine) => engine.getLoad().running > 0);
 }
 
-async function failSuccessor(world: World, minTokens: number): Promise<void> {
-  await Waiting.waitUntil('the next engine is at work', async () => {
-    const successor = await findSuccessor(world);
+async function failSuccessor(deployment: Deployment, minTokens: number): Promise<void> {
+  await Waiting.waitUntil('the next engine runs the request', async () => {
+    const successor = await findSuccessor(deployment);
     return successor !== undefined && successor.getCounters().tokensGenerated >= minTokens;
   });
-  const successor = await findSuccessor(world);
+  const successor = await findSuccessor(deployment);
   await successor!.setFault({ kind: 'die' });
 }
 
 export const TARGET_FAULTS: readonly GenerationFault[] = [
-  { code: 'E1', strike: failEngine, releasesEngine: false, dispatches: 2 },
+  { code: 'E1', inject: failEngine, releasesEngine: false, dispatches: 2 },
   {
     code: 'E2',
-    async strike(world) {
-      await world.engines[0]!.setFault({ kind: 'pause' });
-      world.engineLink.heal();
+    async inject(deployment) {
+      await deployment.engines[0]!.setFault({ kind: 'pause' });
+      deployment.engineLink.heal();
     },
     releasesEngine: false,
-    follow: resumeAfterTakeover,
+    followUp: resumeAfterTakeover,
     dispatches: 2,
   },
   {
     code: 'E3',
-    async strike(world) {
-      await world.engines[0]!.setFault({ kind: 'slow', factor: SLOW_FACTOR });
-      world.engineLink.heal();
+    async inject(deployment) {
+      await deployment.engines[0]!.setFault({ kind: 'slow', factor: SLOW_FACTOR });
+      deployment.engineLink.heal();
     },
     releasesEngine: true,
     dispatches: 1,
   },
   {
     code: 'E4',
-    async strike(world) {
-      await failEngine(world);
-      await world.engines[0]!.setFault({ kind: 'revive' });
+    async inject(deployment) {
+      await failEngine(deployment);
+      await deployment.engines[0]!.setFault({ kind: 'revive' });
     },
     releasesEngine: false,
     dispatches: 2,
   },
   {
     code: 'E5',
-    async strike(world) {
-      // Neither a cancel nor the end of the connection reaches the engine: it goes on and answers.
-      await world.engines[0]!.setFault({ kind: 'pause' });
-      world.engineLink.heal();
-      world.engineLink.cutToTarget();
+    async inject(deployment) {
+      // The engine receives neither a cancellation nor the end of the connection, so it continues to
+      // send.
+      await deployment.engines[0]!.setFault({ kind: 'pause' });
+      deployment.engineLink.heal();
+      deployment.engineLink.cutToTarget();
     },
     releasesEngine: false,
-    follow: resumeAfterTakeover,
+    followUp: resumeAfterTakeover,
     dispatches: 2,
   },
 ];
@@ -102,29 +111,29 @@
 export const LINK_FAULTS: readonly GenerationFault[] = [
   {
     code: 'L1',
-    strike: async (world) => world.engineLink.cutToTarget(),
+    inject: async (deployment) => deployment.engineLink.cutToTarget(),
     releasesEngine: true,
     dispatches: 1,
   },
   {
     code: 'L2',
-    strike: async (world) => world.engineLink.cutToCaller(),
+    inject: async (deployment) => deployment.engineLink.cutToCaller(),
     releasesEngine: true,
     dispatches: 2,
   },
   {
     code: 'L3',
-    strike: async (world) => world.engineLink.cutBoth(),
+    inject: async (deployment) => deployment.engineLink.cutBoth(),
     releasesEngine: true,
     dispatches: 2,
   },
   {
     code: 'L4',
-    strike: async (world) => world.engineLink.stall(),
+    inject: async (deployment) => deployment.engineLink.stall(),
     releasesEngine: true,
-    async follow(world, isDone) {
-      await waitForTakeover(world, isDone);
-      world.engineLink.heal();
+    async followUp(deployment, isDone) {
+      await waitForTakeover(deployment, isDone);
+      deployment.engineLink.heal();
     },
     dispatches: 2,
   },
@@ -133,71 +142,71 @@
 export const PLATFORM_FAULTS: readonly GenerationFault[] = [
   {
     code: 'P1',
-    async strike(world) {
-      await world.platform.setFault({ kind: 'refuse' });
-      world.engineLink.heal();
+    async inject(deployment) {
+      await deployment.platform.setFault({ kind: 'refuse' });
+      deployment.engineLink.heal();
     },
     releasesEngine: true,
     dispatches: 1,
   },
   {
     code: 'P2',
-    async strike(world) {
-      await world.platform.setFault({ kind: 'slow', ms: PLATFORM_SLOW_MS });
-      world.engineLink.heal();
+    async inject(deployment) {
+      await deployment.platform.setFault({ kind: 'slow', ms: PLATFORM_SLOW_MS });
+      deployment.engineLink.heal();
     },
     releasesEngine: true,
     dispatches: 1,
   },
   {
     code: 'P3',
-    async strike(world) {
-      await world.platform.setFault({ kind: 'loseAnswers', count: 3 });
-      world.engineLink.heal();
+    async inject(deployment) {
+      await deployment.platform.setFault({ kind: 'loseAnswers', count: 3 });
+      deployment.engineLink.heal();
     },
     releasesEngine: true,
     dispatches: 1,
   },
 ];
 
-export const PAIRS: readonly GenerationFault[] = [
+export const FAULT_PAIRS: readonly GenerationFault[] = [
   {
     code: 'X1',
-    async strike(world) {
-      await world.platform.setFault({ kind: 'refuse' });
-      await world.engines[0]!.setFault({ kind: 'pause' });
-      world.engineLink.heal();
+    async inject(deployment) {
+      await deployment.platform.setFault({ kind: 'refuse' });
+      await deployment.engines[0]!.setFault({ kind: 'pause' });
+      deployment.engineLink.heal();
     },
     releasesEngine: false,
-    follow: resumeAfterTakeover,
+    followUp: resumeAfterTakeover,
     dispatches: 2,
   },
   {
     code: 'X2',
-    strike: failEngine,
+    inject: failEngine,
     releasesEngine: false,
-    follow: async (world) => failSuccessor(world, 0),
+    followUp: async (deployment) => failSuccessor(deployment, 0),
     dispatches: 3,
   },
   {
     code: 'T1',
-    strike: failEngine,
+    inject: failEngine,
     releasesEngine: false,
-    follow: async (world) => failSuccessor(world, 2),
+    followUp: async (deployment) => failSuccessor(deployment, 2),
     dispatches: 3,
   },
   {
     code: 'T2',
-    strike: async (world) => world.engines[0]!.setFault({ kind: 'pause' }),
+    inject: async (deployment) => deployment.engines[0]!.setFault({ kind: 'pause' }),
     releasesEngine: false,
-    async follow(world) {
-      await Waiting.waitUntil('the next engine is at work', async () => {
-        const successor = await findSuccessor(world);
+    async followUp(deployment) {
+      await Waiting.waitUntil('the next engine runs the request', async () => {
+        const successor = await findSuccessor(deployment);
         return successor !== undefined && successor.getCounters().tokensGenerated >= 2;
       });
-      const successor = await findSuccessor(world);
+      const successor = await findSuccessor(deployment);
       await successor!.setFault({ kind: 'pause' });
-      await world.engines[0]!.setFault({ kind: 'unpause' });
+      await deployment.engines[0]!.setFault({ kind: 'unpause' });
     },
     dispatches: 3,
   },
--- a/packages/sequoiarill-testing/src/matrix/generationSteps.ts
+++ b/packages/sequoiarill-testing/src/matrix/generationSteps.ts
@@ -1,166 +1,174 @@
-/** Brings a generation to a step, strikes there, and reads what its caller gets. */
+/** Brings a generation to a step, injects a fault there, and reads the caller's answer. */
 import * as Undici from 'undici';
 
 import type { ReadAnswer } from '../answers';
 import * as Callers from './callers';
 import type { GenerationStep } from './steps';
 import * as Waiting from './waiting';
-import * as Worlds from './world';
-import type { World, WorldOptions } from './world';
+import * as Deployments from './deployment';
+import type { Deployment, DeploymentOptions } from './deployment';
 
-/** Called at the step, once. */
-export type Strike = () => Promise<void>;
-/** The struck answer comes first; its caller's connections are the agent's. */
+/** Called once, at the step. */
+export type InjectFault = () => Promise<void>;
+/** Returns the disturbed answer first; its caller's connections belong to the agent. */
 export type RunStep = (
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ) => Promise<readonly ReadAnswer[]>;
 
 export interface StepRunner {
   readonly code: GenerationStep;
-  readonly options: WorldOptions;
+  readonly options: DeploymentOptions;
   readonly runStep: RunStep;
 }
 
 export const EARLY_TOKENS = 3;
 export const LATE_TOKENS = Callers.MAX_TOKENS - 4;
-/** Generations of one model that a router of the matrix admits at once, with few slots. */
-const ADMITTED = 8;
-/** Pieces after which the link holds back the rest of an answer. */
-const HELD_AFTER_PIECES = 10;
+/** Generations of one model that a router admits at a time in the step with few slots. */
+const ADMITTED_GENERATIONS = 8;
+/** Pieces of text after which the link stalls. */
+const STALL_AFTER_PIECES = 10;
 
 async function runAccepted(
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ): Promise<readonly ReadAnswer[]> {
   let release: () => void = () => undefined;
   const released = new Promise<void>((resolve) => {
     release = resolve;
   });
-  const dispatcher = Callers.createHoldingDispatcher(agent, released);
-  const answer = Callers.readAnswer(world, { dispatcher });
+  const dispatcher = Callers.createDelayingDispatcher(agent, released);
+  const answer = Callers.readAnswer(deployment, { dispatcher });
   await Waiting.waitUntil(
     'the router has half of the request',
-    async () => (await Worlds.countOpenRequests(world.routers[0]!)) === 1,
+    async () => (await Deployments.countOpenRequests(deployment.routers[0]!)) === 1,
   );
-  await strike();
+  await injectFault();
   release();
   return [await answer];
 }
 
 async function runQueued(
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ): Promise<readonly ReadAnswer[]> {
-  const first = world.engines[0]!;
+  const first = deployment.engines[0]!;
   await Promise.all(
-    world.engines.map((engine) => engine.setFault({ kind: 'stallAfterTokens', count: 1 })),
+    deployment.engines.map((engine) => engine.setFault({ kind: 'stallAfterTokens', count: 1 })),
   );
-  const running = Array.from({ length: ADMITTED }, () => Callers.readAnswer(world));
+  const running = Array.from({ length: ADMITTED_GENERATIONS }, () =>
+    Callers.readAnswer(deployment),
+  );
+  await Waiting.waitUntil(
+    'the model queue is full',
+    async () => (await getModelQueue(deployment)).running === ADMITTED_GENERATIONS,
+  );
+  const queued = Callers.readAnswer(deployment, { dispatcher: agent });
   await Waiting.waitUntil(
-    'the lane is full',
-    async () => (await getLane(world)).running === ADMITTED,
+    'a request is queued',
+    async () => (await getModelQueue(deployment)).queued === 1,
   );
-  const queued = Callers.readAnswer(world, { dispatcher: agent });
-  await Waiting.waitUntil('a request is queued', async () => (await getLane(world)).queued === 1);
-  await strike();
-  const others = world.engines.filter((engine) => engine !== first);
+  await injectFault();
+  const others = deployment.engines.filter((engine) => engine !== first);
   await Promise.all(others.map((engine) => engine.setFault({ kind: 'heal' })));
   return Promise.all([queued, ...running]);
 }
 
-async function getLane(
-  world: World,
+async function getModelQueue(
+  deployment: Deployment,
 ): Promise<{ readonly running?: number; readonly queued?: number }> {
-  const { lanes } = await world.routers[0]!.dumpPlugin('generations');
+  const { lanes } = await deployment.routers[0]!.dumpPlugin('generations');
   return (lanes as readonly { running: number; queued: number }[])[0] ?? {};
 }
 
 async function runUnsent(
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ): Promise<readonly ReadAnswer[]> {
-  world.engineLink.stall();
-  const answer = Callers.readAnswer(world, { dispatcher: agent });
+  deployment.engineLink.stall();
+  const answer = Callers.readAnswer(deployment, { dispatcher: agent });
   await Waiting.waitUntil('the request is dispatched', async () => {
-    const { running } = await world.routers[0]!.dumpPlugin('generations');
-    return running === 1 && world.engineLink.getCounters().connectionsOpen > 0;
+    const { running } = await deployment.routers[0]!.dumpPlugin('generations');
+    return running === 1 && deployment.engineLink.getCounters().connectionsOpen > 0;
   });
-  await strike();
+  await injectFault();
   return [await answer];
 }
 
 async function runDispatched(
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ): Promise<readonly ReadAnswer[]> {
-  const [engine] = world.engines;
-  const answer = Callers.readAnswer(world, { dispatcher: agent });
-  await Waiting.waitUntil('the engine has it', () => engine!.getLoad().running === 1);
-  if (engine!.getCounters().tokensGenerated > 0) throw new Error('the first token was too early');
-  await strike();
+  const [engine] = deployment.engines;
+  const answer = Callers.readAnswer(deployment, { dispatcher: agent });
+  await Waiting.waitUntil('the engine has the request', () => engine!.getLoad().running === 1);
+  if (engine!.getCounters().tokensGenerated > 0) throw new Error('the first token came too early');
+  await injectFault();
   return [await answer];
 }
 
-/** The engine stands still as soon as it has made so many tokens. */
-export async function delayAtToken(world: World, count: number): Promise<() => Promise<void>> {
-  const engine = world.engines[0]!;
-  const known = engine.getCounters().tokensGenerated;
+/** Stalls the engine as soon as it has generated the given number of tokens. */
+export async function delayAtToken(
+  deployment: Deployment,
+  count: number,
+): Promise<() => Promise<void>> {
+  const engine = deployment.engines[0]!;
+  const previous = engine.getCounters().tokensGenerated;
   await engine.setFault({ kind: 'stallAfterTokens', count });
   return async () =>
     Waiting.waitUntil(
       `the engine has made ${count} tokens`,
-      () => engine.getCounters().tokensGenerated - known >= count,
+      () => engine.getCounters().tokensGenerated - previous >= count,
     );
 }
 
 function createStreamingStep(count: number): RunStep {
-  return async function runStreaming(world, strike, agent) {
-    const waitForToken = await delayAtToken(world, count);
-    const answer = Callers.readAnswer(world, { dispatcher: agent });
+  return async function runStreaming(deployment, injectFault, agent) {
+    const waitForToken = await delayAtToken(deployment, count);
+    const answer = Callers.readAnswer(deployment, { dispatcher: agent });
     await waitForToken();
-    await strike();
+    await injectFault();
     return [await answer];
   };
 }
 
 async function runUnacknowledged(
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ): Promise<readonly ReadAnswer[]> {
-  const [engine] = world.engines;
-  const answer = Callers.readAnswer(world, {
+  const [engine] = deployment.engines;
+  const answer = Callers.readAnswer(deployment, {
     dispatcher: agent,
     onText(_text, count) {
-      if (count === HELD_AFTER_PIECES) world.engineLink.stall();
+      if (count === STALL_AFTER_PIECES) deployment.engineLink.stall();
     },
   });
   await Waiting.waitUntil('the engine has finished', () => {
     const { tokensGenerated } = engine!.getCounters();
     return tokensGenerated >= Callers.MAX_TOKENS && engine!.getLoad().running === 0;
   });
-  await strike();
+  await injectFault();
   return [await answer];
 }
 
-/** In the form of a chat answer, so that all steps are compared alike. */
+/** Converts the response to the form of a chat answer, so that all steps are compared alike. */
 async function runResumed(
-  world: World,
-  strike: Strike,
+  deployment: Deployment,
+  injectFault: InjectFault,
   agent: Undici.Agent,
 ): Promise<readonly ReadAnswer[]> {
-  const waitForToken = await delayAtToken(world, EARLY_TOKENS + 1);
-  const opened = Callers.readResponse(world, { leaveAfter: 1 });
+  const waitForToken = await delayAtToken(deployment, EARLY_TOKENS + 1);
+  const opened = Callers.readResponse(deployment, { disconnectAfter: 1 });
   await waitForToken();
   const first = await opened;
-  await strike();
-  const second = await Callers.readResponse(world, { after: first, agent });
+  await injectFault();
+  const second = await Callers.readResponse(deployment, { resumeFrom: first, agent });
   return [
     {
       status: second.httpStatus,
@@ -176,7 +184,7 @@
   ];
 }
 
-/** `cancelled` is not here: its caller has left, so that there is no answer to compare. */
+/** The step `cancelled` (G9) is missing: its caller has disconnected, so there is no answer to compare. */
 export const STEP_RUNNERS: readonly StepRunner[] = [
   { code: 'G1', options: {}, runStep: runAccepted },
   { code: 'G2', options: { slots: 2 }, runStep: runQueued },
--- a/packages/sequoiarill-testing/src/matrix/orderCallers.ts
+++ b/packages/sequoiarill-testing/src/matrix/orderCallers.ts
@@ -1,15 +1,15 @@
-/** Callers of plain services in the matrix tests. */
+/** Callers of plain services in the tests of the fault matrix. */
 import * as Crypto from 'node:crypto';
 
 import * as Demo from '@sequoiarill/demo';
 import * as Undici from 'undici';
 
 import * as Callers from './callers';
-import type { World } from './world';
+import type { Deployment } from './deployment';
 
 export interface OrderAnswer {
   readonly status: number;
-  /** `x-sequoiarill-outcome`; undefined when the connection broke. */
+  /** Value of `x-sequoiarill-outcome`; undefined if the connection broke. */
   readonly outcome: string | undefined;
   readonly code: string | undefined;
   readonly body: string;
@@ -30,7 +30,7 @@
   readonly apiKey: string;
   readonly idempotencyKey: string;
   readonly agent: Undici.Agent;
-  /** Holds back the second half of the body until it resolves. */
+  /** Delays the second half of the body until it resolves. */
   readonly released?: Promise<void>;
 }
 
@@ -38,11 +38,11 @@
   return Crypto.randomUUID();
 }
 
-/** Books once; a broken connection is `NO_ANSWER`. */
+/** Sends one order; returns `NO_ANSWER` if the connection breaks. */
 export async function sendOrder(options: OrderOptions): Promise<OrderAnswer> {
   const { agent, released } = options;
-  const holding = released && Callers.createHoldingDispatcher(agent, released);
-  const dispatcher = holding ?? agent;
+  const delaying = released && Callers.createDelayingDispatcher(agent, released);
+  const dispatcher = delaying ?? agent;
   try {
     const answer = await Undici.request(`${options.url}/v1/services/${Demo.SERVICE}/callouts`, {
       method: 'POST',
@@ -67,9 +67,9 @@
   }
 }
 
-/** Runs with the key, over all services: the truth that answers are compared with. */
-export function countRuns(world: World, idempotencyKey: string): number {
-  return world.services.reduce(
+/** Counts the runs with the key over all services, as the reference for the reported outcomes. */
+export function countRuns(deployment: Deployment, idempotencyKey: string): number {
+  return deployment.services.reduce(
     (sum, service) => sum + (service.getCounters().runsByKey[idempotencyKey] ?? 0),
     0,
   );
--- a/packages/sequoiarill-testing/src/matrix/orderCells.ts
+++ b/packages/sequoiarill-testing/src/matrix/orderCells.ts
@@ -1,4 +1,4 @@
-/** Runs one cell of an order: the order under the fault, then a repeat with the same key. */
+/** Runs one cell of an order: sends the order under the fault, then retries with the same key. */
 import * as Undici from 'undici';
 
 import * as OrderCallers from './orderCallers';
@@ -6,17 +6,17 @@
 import type { OrderFault } from './orderFaults';
 import type { OrderStep } from './steps';
 import * as Waiting from './waiting';
-import * as Worlds from './world';
-import type { World } from './world';
+import * as Deployments from './deployment';
+import type { Deployment } from './deployment';
 
 export interface OrderCellRun {
-  /** What the caller of the first sending was told. */
+  /** Result of the first order, as its caller got it. */
   readonly first: OrderAnswer;
-  /** Runs before the repeat, once everything has healed. */
-  readonly runsBefore: number;
-  readonly repeat: OrderAnswer;
-  readonly runsAfterRepeat: number;
-  /** The answer that stands, once the faults have ended and repeats say no more to come back. */
+  /** Number of runs before the retry; outside the retry steps the fault has been cleared by then. */
+  readonly runsBeforeRetry: number;
+  readonly retry: OrderAnswer;
+  readonly runsAfterRetry: number;
+  /** Final result, after the fault was cleared and retries no longer get `not-run` or `not-sent`. */
   readonly final: OrderAnswer;
   readonly runsAfter: number;
 }
@@ -24,23 +24,23 @@
 export interface OrderStepRunner {
   readonly code: OrderStep;
   readonly routers: number;
-  /** Router of the repeat. */
-  readonly repeatAt: number;
+  /** Index of the router that gets the retry. */
+  readonly retryRouter: number;
   readonly runStep: (run: StepRun) => Promise<OrderAnswer>;
 }
 
 interface StepRun {
-  readonly world: World;
-  readonly strike: () => Promise<void>;
-  /** Sends the order; its body's second half waits for `released`. */
+  readonly deployment: Deployment;
+  readonly injectFault: () => Promise<void>;
+  /** Sends the order; delays the second half of its body until `released` resolves. */
   readonly send: (released?: Promise<void>) => Promise<OrderAnswer>;
   readonly fault: OrderFault;
 }
 
-/** How long the service of the step `answered` keeps its answer, in milliseconds. */
-const ANSWER_MS = 150;
+/** Delay of the service's answer in the step `answered`. */
+const ANSWER_DELAY_MS = 150;
 
-async function runAccepted({ world, strike, send }: StepRun): Promise<OrderAnswer> {
+async function runAccepted({ deployment, injectFault, send }: StepRun): Promise<OrderAnswer> {
   let release: () => void = () => undefined;
   const answer = send(
     new Promise((resolve) => {
@@ -49,81 +49,81 @@
   );
   await Waiting.waitUntil(
     'the router has half of the order',
-    async () => (await Worlds.countOpenRequests(world.routers[0]!)) === 1,
+    async () => (await Deployments.countOpenRequests(deployment.routers[0]!)) === 1,
   );
-  await strike();
+  await injectFault();
   release();
   return answer;
 }
 
-async function runClaimed({ world, strike, send, fault }: StepRun): Promise<OrderAnswer> {
-  await world.platform.setFault({ kind: 'hang' });
+async function runClaimed({ deployment, injectFault, send, fault }: StepRun): Promise<OrderAnswer> {
+  await deployment.platform.setFault({ kind: 'hang' });
   const answer = send();
-  await Waiting.waitUntil('the order claims', async () => {
-    const { openOrders } = await world.routers[0]!.dumpPlugin('orders');
+  await Waiting.waitUntil('the order waits for its claim', async () => {
+    const { openOrders } = await deployment.routers[0]!.dumpPlugin('orders');
     return openOrders === 1;
   });
-  await strike();
-  if (fault.releasesPlatform) await world.platform.setFault({ kind: 'up' });
+  await injectFault();
+  if (fault.releasesPlatform) await deployment.platform.setFault({ kind: 'up' });
   return answer;
 }
 
-async function runSent({ world, strike, send, fault }: StepRun): Promise<OrderAnswer> {
-  const service = world.services[0]!;
+async function runSent({ deployment, injectFault, send, fault }: StepRun): Promise<OrderAnswer> {
+  const service = deployment.services[0]!;
   await service.setFault({ kind: 'pause' });
   const answer = send();
   await Waiting.waitUntil('the service has the order', () => service.getWaiting() === 1);
-  await strike();
+  await injectFault();
   if (fault.releasesService) await service.setFault({ kind: 'unpause' });
   return answer;
 }
 
-async function runAnswered({ world, strike, send }: StepRun): Promise<OrderAnswer> {
-  const service = world.services[0]!;
-  await service.setFault({ kind: 'slow', ms: ANSWER_MS });
+async function runAnswered({ deployment, injectFault, send }: StepRun): Promise<OrderAnswer> {
+  const service = deployment.services[0]!;
+  await service.setFault({ kind: 'slow', ms: ANSWER_DELAY_MS });
   const answer = send();
-  await Waiting.waitUntil('the service ran it', () => service.getCounters().total === 1);
-  await strike();
+  await Waiting.waitUntil('the service ran the order', () => service.getCounters().total === 1);
+  await injectFault();
   return answer;
 }
 
-async function runAnswerLost({ world, strike, send }: StepRun): Promise<OrderAnswer> {
-  const service = world.services[0]!;
+async function runAnswerLost({ deployment, injectFault, send }: StepRun): Promise<OrderAnswer> {
+  const service = deployment.services[0]!;
   await service.setFault({ kind: 'loseAnswers', count: 1 });
   const answer = send();
-  await Waiting.waitUntil('the service ran it', () => service.getCounters().total === 1);
-  await strike();
+  await Waiting.waitUntil('the service ran the order', () => service.getCounters().total === 1);
+  await injectFault();
   return answer;
 }
 
-/** The first sending is undisturbed; the fault strikes between it and the repeat. */
-async function runRepeated({ strike, send }: StepRun): Promise<OrderAnswer> {
+/** The first order is undisturbed; the fault is injected between it and the retry. */
+async function runRetried({ injectFault, send }: StepRun): Promise<OrderAnswer> {
   const answer = await send();
-  await strike();
+  await injectFault();
   return answer;
 }
 
 export const ORDER_STEP_RUNNERS: readonly OrderStepRunner[] = [
-  { code: 'O1', routers: 2, repeatAt: 0, runStep: runAccepted },
-  { code: 'O2', routers: 2, repeatAt: 0, runStep: runClaimed },
-  { code: 'O3', routers: 2, repeatAt: 0, runStep: runSent },
-  { code: 'O4', routers: 2, repeatAt: 0, runStep: runAnswered },
-  { code: 'O5', routers: 2, repeatAt: 0, runStep: runAnswerLost },
-  { code: 'O6', routers: 2, repeatAt: 0, runStep: runRepeated },
-  { code: 'O7', routers: 2, repeatAt: 1, runStep: runRepeated },
+  { code: 'O1', routers: 2, retryRouter: 0, runStep: runAccepted },
+  { code: 'O2', routers: 2, retryRouter: 0, runStep: runClaimed },
+  { code: 'O3', routers: 2, retryRouter: 0, runStep: runSent },
+  { code: 'O4', routers: 2, retryRouter: 0, runStep: runAnswered },
+  { code: 'O5', routers: 2, retryRouter: 0, runStep: runAnswerLost },
+  { code: 'O6', routers: 2, retryRouter: 0, runStep: runRetried },
+  { code: 'O7', routers: 2, retryRouter: 1, runStep: runRetried },
 ];
 
-/** Ends every fault, and waits until nothing of the order is on its way any more. */
-export async function removeFaults(world: World): Promise<void> {
-  world.serviceLink.heal();
-  await world.platform.setFault({ kind: 'up' });
-  for (const service of world.services) await service.setFault({ kind: 'revive' });
+/** Clears every fault. */
+export async function removeFaults(deployment: Deployment): Promise<void> {
+  deployment.serviceLink.heal();
+  await deployment.platform.setFault({ kind: 'up' });
+  for (const service of deployment.services) await service.setFault({ kind: 'revive' });
 }
 
-/** Repeats for as long as the answer says to come back; the first answer that doesn't is the last. */
+/** Retries until the outcome is final, and returns that answer. */
 export async function sendUntilSettled(send: () => Promise<OrderAnswer>): Promise<OrderAnswer> {
   let answer = await send();
-  await Waiting.waitUntil('a repeated order is answered for good', async () => {
+  await Waiting.waitUntil('the outcome of a retried order is final', async () => {
     if (answer.outcome === 'not-run' || answer.outcome === 'not-sent') answer = await send();
     return answer.outcome === 'done' || answer.outcome === 'unknown';
   });
@@ -131,8 +131,8 @@
 }
 
 /**
- * Steps of repeats (`O6`, `O7`) repeat under the fault, all others once it has ended. After the
- * planned stop of the first router, the second one has the repeat.
+ * The steps O6 and O7 retry under the fault, all others after it was cleared. If the first router has
+ * stopped or the caller's connections to it are closed, the second router gets the retry.
  */
 export async function runOrderCell(
   step: OrderStepRunner,
@@ -140,16 +140,20 @@
   serviceTimeoutMs?: number,
 ): Promise<OrderCellRun> {
   const limits = serviceTimeoutMs === undefined ? {} : { serviceTimeoutMs };
-  const world = await Worlds.startWorld({ routers: step.routers, engines: 1, ...limits });
+  const deployment = await Deployments.startDeployment({
+    routers: step.routers,
+    engines: 1,
+    ...limits,
+  });
   const agents = [new Undici.Agent(), new Undici.Agent()] as const;
   const idempotencyKey = OrderCallers.createIdempotencyKey();
   let isDone = false;
-  let followed: Promise<void> | undefined;
+  let followUpTask: Promise<void> | undefined;
 
   async function send(router: number, released?: Promise<void>): Promise<OrderAnswer> {
     return OrderCallers.sendOrder({
-      url: world.routers[router]!.callers,
-      apiKey: world.apiKey,
+      url: deployment.routers[router]!.callers,
+      apiKey: deployment.apiKey,
       idempotencyKey,
       agent: agents[router]!,
       ...(released && { released }),
@@ -157,38 +161,38 @@
   }
 
   async function applyFault(): Promise<void> {
-    await fault.strike(world, async () => agents[0].destroy());
-    followed = fault.follow?.(world, () => isDone);
-    followed?.catch(() => undefined);
+    await fault.inject(deployment, async () => agents[0].destroy());
+    followUpTask = fault.followUp?.(deployment, () => isDone);
+    followUpTask?.catch(() => undefined);
   }
 
   try {
     const first = await step.runStep({
-      world,
-      strike: applyFault,
+      deployment,
+      injectFault: applyFault,
       fault,
       send: (released) => send(0, released),
     });
-    const isRepeatStep = step.code === 'O6' || step.code === 'O7';
-    isDone = !isRepeatStep;
-    if (!isRepeatStep) {
-      await followed;
-      await removeFaults(world);
+    const isRetryStep = step.code === 'O6' || step.code === 'O7';
+    isDone = !isRetryStep;
+    if (!isRetryStep) {
+      await followUpTask;
+      await removeFaults(deployment);
     }
-    const runsBefore = OrderCallers.countRuns(world, idempotencyKey);
-    const hasLeft = fault.code === 'C1' || fault.code === 'R3';
-    const repeatAt = hasLeft ? 1 : step.repeatAt;
-    const repeat = await send(repeatAt);
-    const runsAfterRepeat = OrderCallers.countRuns(world, idempotencyKey);
+    const runsBeforeRetry = OrderCallers.countRuns(deployment, idempotencyKey);
+    const usesSecondRouter = fault.code === 'C1' || fault.code === 'R3';
+    const retryRouter = usesSecondRouter ? 1 : step.retryRouter;
+    const retry = await send(retryRouter);
+    const runsAfterRetry = OrderCallers.countRuns(deployment, idempotencyKey);
     isDone = true;
-    await followed;
-    await removeFaults(world);
-    const final = await sendUntilSettled(async () => send(repeatAt));
-    const runsAfter = OrderCallers.countRuns(world, idempotencyKey);
-    return { first, runsBefore, repeat, runsAfterRepeat, final, runsAfter };
+    await followUpTask;
+    await removeFaults(deployment);
+    const final = await sendUntilSettled(async () => send(retryRouter));
+    const runsAfter = OrderCallers.countRuns(deployment, idempotencyKey);
+    return { first, runsBeforeRetry, retry, runsAfterRetry, final, runsAfter };
   } finally {
     isDone = true;
     await Promise.all(agents.map((agent) => agent.destroy()));
-    await world.stop();
+    await deployment.stop();
   }
 }
--- a/packages/sequoiarill-testing/src/matrix/routerCells.ts
+++ b/packages/sequoiarill-testing/src/matrix/routerCells.ts
@@ -1,4 +1,7 @@
-/** Cells in which a router's process is killed or stopped: one process beside an in-process world. */
+/**
+ * Cells in which a router is killed, paused or stopped: that router is a separate process, the rest of
+ * the deployment runs in the test's process.
+ */
 import { setTimeout as startTimeout } from 'node:timers/promises';
 
 import * as Undici from 'undici';
@@ -15,35 +18,35 @@
 import type { OrderAnswer } from './orderCallers';
 import type { OrderFault } from './orderFaults';
 import * as Waiting from './waiting';
-import * as Worlds from './world';
-import type { JournalLine, World, WorldRouter } from './world';
+import * as Deployments from './deployment';
+import type { JournalLine, Deployment, DeploymentRouter } from './deployment';
 
-/** A second router of the world, in a process of its own. */
-async function startProcess(world: World): Promise<FleetRouter> {
-  return Fleets.startRouter(1, 1, world.platformAddress, []);
+/** Starts a second router of the deployment as a separate process. */
+async function startProcess(deployment: Deployment): Promise<FleetRouter> {
+  return Fleets.startRouter(1, 1, deployment.platformAddress, []);
 }
 
 export interface RouterRun {
-  readonly world: World;
+  readonly deployment: Deployment;
   readonly router: FleetRouter;
 }
 
-/** Starts both, and ends both whatever happens. */
+/** Starts the deployment and the router process, and stops both also if the check fails. */
 export async function runWithRouter(
-  options: Worlds.WorldOptions,
+  options: Deployments.DeploymentOptions,
   check: (run: RouterRun) => Promise<void>,
 ): Promise<void> {
-  const world = await Worlds.startWorld(options);
+  const deployment = await Deployments.startDeployment(options);
   try {
-    const router = await startProcess(world);
+    const router = await startProcess(deployment);
     try {
-      await check({ world, router });
+      await check({ deployment, router });
     } finally {
       router.daemon.send('SIGCONT');
       await router.daemon.stop('SIGKILL');
     }
   } finally {
-    await world.stop();
+    await deployment.stop();
   }
 }
 
@@ -52,12 +55,12 @@
   return answer.body.json();
 }
 
-/** The same world, seen through the router's process alone. */
-export function createProcessView({ world, router }: RouterRun): World {
+/** Returns the same deployment with the router process as its only router. */
+export function createProcessView({ deployment, router }: RouterRun): Deployment {
   const operators = `http://${router.operators}`;
-  const [own] = world.routers;
-  const view: WorldRouter = {
-    ...own!,
+  const [inProcessRouter] = deployment.routers;
+  const view: DeploymentRouter = {
+    ...inProcessRouter!,
     callers: router.callers,
     dumpPlugin: async (name) =>
       (await readJson(`${operators}/state/${name}`)) as Readonly<Record<string, unknown>>,
@@ -66,14 +69,14 @@
       return (body as { readonly entries?: readonly JournalLine[] }).entries ?? [];
     },
   };
-  return { ...world, routers: [view] };
+  return { ...deployment, routers: [view] };
 }
 
-/** The router's process sleeps at the step for so long, and its caller waits. */
+/** Pauses the router process at the step for the given time while its caller waits. */
 export async function runPausedRouter(
   step: StepRunner,
   pauseMs: number,
-  check: (answers: readonly ReadAnswer[], view: World) => Promise<void> | void,
+  check: (answers: readonly ReadAnswer[], view: Deployment) => Promise<void> | void,
 ): Promise<void> {
   const agent = new Undici.Agent();
   await runWithRouter(step.options, async (run) => {
@@ -82,8 +85,8 @@
       view,
       async () => {
         run.router.daemon.send('SIGSTOP');
-        run.world.engineLink.heal();
-        await run.world.engines[0]!.setFault({ kind: 'heal' });
+        run.deployment.engineLink.heal();
+        await run.deployment.engines[0]!.setFault({ kind: 'heal' });
         await startTimeout(pauseMs);
         run.router.daemon.send('SIGCONT');
       },
@@ -93,79 +96,82 @@
   }).finally(async () => agent.destroy());
 }
 
-/** One answer through the router's process; `strike` runs when the engine has made `count` tokens. */
-export async function readStruckAnswer(
-  { world, router }: RouterRun,
+/**
+ * Reads one answer through the router process; calls `injectFault` when the engine has generated
+ * `count` tokens.
+ */
+export async function readAnswerUnderFault(
+  { deployment, router }: RouterRun,
   count: number,
-  strike: () => Promise<void>,
+  injectFault: () => Promise<void>,
 ): Promise<ReadAnswer> {
-  const waitForToken = await GenerationSteps.delayAtToken(world, count);
+  const waitForToken = await GenerationSteps.delayAtToken(deployment, count);
   const answer = Answers.readAnswer({
     url: router.callers,
-    apiKey: world.apiKey,
+    apiKey: deployment.apiKey,
     prompt: Callers.PROMPT,
     maxTokens: Callers.MAX_TOKENS,
   });
   await waitForToken();
-  await strike();
-  await world.engines[0]!.setFault({ kind: 'unpause' });
+  await injectFault();
+  await deployment.engines[0]!.setFault({ kind: 'unpause' });
   return answer;
 }
 
-export interface OrderDeathRun {
+export interface RouterLossRun {
   readonly first: OrderAnswer;
-  /** Told by the world's own router, under the fault. */
-  readonly repeat: OrderAnswer;
+  /** Result at the deployment's in-process router, under the fault. */
+  readonly retry: OrderAnswer;
   readonly runs: number;
 }
 
-export type OrderHold = 'sent' | 'answered';
+export type OrderStage = 'sent' | 'answered';
 
-/** How long the service keeps an answer while the router dies, in milliseconds. */
-const ANSWER_MS = 300;
+/** Delay of the service's answer, during which the router is killed. */
+const ANSWER_DELAY_MS = 300;
 
-async function delayOrder(world: World, hold: OrderHold): Promise<() => Promise<void>> {
-  const service = world.services[0]!;
-  if (hold === 'sent') {
+async function delayOrder(deployment: Deployment, stage: OrderStage): Promise<() => Promise<void>> {
+  const service = deployment.services[0]!;
+  if (stage === 'sent') {
     await service.setFault({ kind: 'pause' });
     return async () =>
       Waiting.waitUntil('the service has the order', () => service.getWaiting() === 1);
   }
-  await service.setFault({ kind: 'slow', ms: ANSWER_MS });
+  await service.setFault({ kind: 'slow', ms: ANSWER_DELAY_MS });
   return async () =>
-    Waiting.waitUntil('the service ran it', () => service.getCounters().total === 1);
+    Waiting.waitUntil('the service ran the order', () => service.getCounters().total === 1);
 }
 
 /**
- * The router that has the order is killed or paused at the step; the caller repeats the order at
- * the other router, under one more fault if there is one.
+ * Kills or pauses the router that has the order at the given stage, and retries the order at the other
+ * router, with a further fault injected before if one is given.
  */
-export async function runOrderDeath(
-  hold: OrderHold,
+export async function runRouterLoss(
+  stage: OrderStage,
   signal: 'SIGKILL' | 'SIGSTOP',
   fault?: OrderFault,
-): Promise<OrderDeathRun> {
-  let result: OrderDeathRun | undefined;
+): Promise<RouterLossRun> {
+  let result: RouterLossRun | undefined;
   const idempotencyKey = OrderCallers.createIdempotencyKey();
   const agent = new Undici.Agent();
-  await runWithRouter({ engines: 1 }, async ({ world, router }) => {
+  await runWithRouter({ engines: 1 }, async ({ deployment, router }) => {
     async function send(url: string): Promise<OrderAnswer> {
-      return OrderCallers.sendOrder({ url, apiKey: world.apiKey, idempotencyKey, agent });
+      return OrderCallers.sendOrder({ url, apiKey: deployment.apiKey, idempotencyKey, agent });
     }
-    const waitForHold = await delayOrder(world, hold);
+    const waitForStage = await delayOrder(deployment, stage);
     const sent = send(router.callers);
-    await waitForHold();
+    await waitForStage();
     router.daemon.send(signal);
     if (signal === 'SIGKILL') await sent;
-    await fault?.strike(world, async () => undefined);
-    if (fault?.releasesService ?? true) await world.services[0]!.setFault({ kind: 'unpause' });
-    const repeat = await send(world.routers[0]!.callers);
-    await fault?.follow?.(world, () => true);
-    await OrderCells.removeFaults(world);
+    await fault?.inject(deployment, async () => undefined);
+    if (fault?.releasesService ?? true) await deployment.services[0]!.setFault({ kind: 'unpause' });
+    const retry = await send(deployment.routers[0]!.callers);
+    await fault?.followUp?.(deployment, () => true);
+    await OrderCells.removeFaults(deployment);
     router.daemon.send('SIGCONT');
     const first = await sent;
-    await send(world.routers[0]!.callers);
-    result = { first, repeat, runs: OrderCallers.countRuns(world, idempotencyKey) };
+    await send(deployment.routers[0]!.callers);
+    result = { first, retry, runs: OrderCallers.countRuns(deployment, idempotencyKey) };
   });
   await agent.destroy();
   return result!;
--- a/packages/sequoiarill-testing/src/matrix/steps.ts
+++ b/packages/sequoiarill-testing/src/matrix/steps.ts
@@ -1,4 +1,4 @@
-/** The steps of generations and orders, and the faults, that the fault matrix crosses. */
+/** The steps of generations and orders, and the faults, that are combined in the fault matrix. */
 
 export interface MatrixEntry {
   readonly code: string;
@@ -29,7 +29,7 @@
   { code: 'O8', name: "repeated after the first router's death" },
 ] as const satisfies readonly MatrixEntry[];
 
-/** For an order the target is a plain service in place of an engine. */
+/** For an order, the target is a plain service instead of an engine. */
 export const FAULTS = [
   { code: 'E1', name: 'target killed' },
   { code: 'E2', name: 'target paused and woken' },
--- a/packages/sequoiarill-testing/src/matrix/waiting.ts
+++ b/packages/sequoiarill-testing/src/matrix/waiting.ts
@@ -1,31 +1,31 @@
-/** Waits of the matrix tests: for a condition, with a bound that fails the test. */
+/** Waits for conditions in the tests of the fault matrix, with a timeout that fails the test. */
 import { setTimeout as startTimeout } from 'node:timers/promises';
 
 const POLL_MS = 1;
-/** Far above any wait of these tests; a wait that reaches it has found a hang. */
-const BOUND_MS = 30_000;
+/** Far longer than any wait of these tests; only a hang exceeds it. */
+const WAIT_TIMEOUT_MS = 30_000;
 
-/** Resolves when the condition holds; rejects with what was waited for at the bound. */
+/** Resolves when the condition holds; rejects with the description after the timeout. */
 export async function waitUntil(
-  what: string,
+  description: string,
   isMet: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const untilMs = performance.now() + BOUND_MS;
+  const untilMs = performance.now() + WAIT_TIMEOUT_MS;
   while (!(await isMet())) {
-    if (performance.now() > untilMs) throw new Error(`waited in vain: ${what}`);
+    if (performance.now() > untilMs) throw new Error(`timed out waiting for: ${description}`);
     await startTimeout(POLL_MS);
   }
 }
 
-/** Resolves with the value, or rejects with what was waited for at the bound. */
-export async function waitFor<Value>(what: string, promise: Promise<Value>): Promise<Value> {
+/** Resolves with the value, or rejects with the description after the timeout. */
+export async function waitFor<Value>(description: string, promise: Promise<Value>): Promise<Value> {
   const settled = new AbortController();
-  const bound = startTimeout(BOUND_MS, undefined, { signal: settled.signal }).then(() => {
-    throw new Error(`waited in vain: ${what}`);
+  const timeout = startTimeout(WAIT_TIMEOUT_MS, undefined, { signal: settled.signal }).then(() => {
+    throw new Error(`timed out waiting for: ${description}`);
   });
-  bound.catch(() => undefined);
+  timeout.catch(() => undefined);
   try {
-    return await Promise.race([promise, bound]);
+    return await Promise.race([promise, timeout]);
   } finally {
     settled.abort();
   }
--- a/packages/sequoiarill-testing/src/userRouter.ts
+++ b/packages/sequoiarill-testing/src/userRouter.ts
@@ -1,4 +1,4 @@
-/** One router of the users' platform as a process of its own. */
+/** Starts one router of the users' platform as a separate process. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -21,11 +21,11 @@
 }
 
 export interface StartedRouter extends RunningRouter {
-  /** Ends when the router takes requests. */
+  /** Resolves when the router accepts requests. */
   readonly start: Promise<void>;
 }
 
-/** `daemon` is the compiled program; its settings are given as the text of an INI file. */
+/** Starts the compiled program `daemon` with `settings`, the text of an INI file. */
 export function startUserRouter(daemon: string, settings: string): StartedRouter {
   const folder = mkdtempSync(path.join(tmpdir(), 'sequoiarill-'));
   const file = path.join(folder, 'router.ini');
@@ -34,7 +34,7 @@
     env: { ...process.env, SEQUOIARILL_CONFIG: file },
     stdio: ['ignore', 'pipe', 'pipe'],
   });
-  // A program that ends leaves no router behind.
+  // The child is killed when this process exits, so that no router outlives a test.
   const killChild = () => child.kill('SIGKILL');
   process.once('exit', killChild);
   const lines: LogLine[] = [];
@@ -61,8 +61,8 @@
   });
 
   async function waitForLine(isWanted: (line: LogLine) => boolean): Promise<LogLine> {
-    const known = lines.find(isWanted);
-    if (known !== undefined) return known;
+    const existing = lines.find(isWanted);
+    if (existing !== undefined) return existing;
     return new Promise((resolve, reject) => {
       const check = (line: LogLine) => {
         if (!isWanted(line)) return;
@@ -70,7 +70,7 @@
         resolve(line);
       };
       waiters.add(check);
-      exited.then(() => reject(new Error('the router has ended'))).catch(() => undefined);
+      exited.then(() => reject(new Error('the router has exited'))).catch(() => undefined);
     });
   }
 
