--- a/bench/src/configurationSlopes.ts
+++ b/bench/src/configurationSlopes.ts
@@ -1,6 +1,6 @@
 /**
- * What the configuration costs a router: processor time and bytes of one change, and memory held, at
- * several numbers of organisations. The largest is the size to design for.
+ * Measures what the configuration costs a router at several numbers of organisations: processor time
+ * and bytes of one change, and memory. The largest number is the size that the system is designed for.
  */
 import { createHash } from 'node:crypto';
 import { setFlagsFromString } from 'node:v8';
@@ -12,13 +12,13 @@
 
 export interface ConfigurationSlope {
   readonly role: 'configuration';
-  /** Organisations; targets and sections grow in proportion. */
+  /** Number of organisations; targets and sections grow in proportion. */
   readonly size: number;
   /** Processor time from the new text of one section to the snapshot in force, in milliseconds. */
   readonly cpuMs: number;
-  /** Held by the records and the snapshot, in megabytes. */
+  /** Memory of the records and the snapshot, in megabytes. */
   readonly memoryMB: number;
-  /** Text that a change of one section brings to a router, in bytes. */
+  /** Bytes of text that a router receives for a change of one section. */
   readonly bytes: number;
 }
 
@@ -28,21 +28,21 @@
 const SECTIONS = 300;
 const MODELS = 8;
 const ZONES = 18;
-const KEYS = 2;
-const SLOTS = 256;
-/** Enough for a stable mean after the compiler has warmed up. */
+const KEYS_PER_ORGANISATION = 2;
+const SLOTS_PER_ENGINE = 256;
+/** Sufficient for a stable mean after the compiler has warmed up. */
 const WARM_UP_CHANGES = 20;
 const MEASURED_CHANGES = 50;
 const MICROS_PER_MS = 1_000;
 const BYTES_PER_MB = 1_048_576;
-const STALE_MS = 3_000;
+const STALE_AFTER_MS = 3_000;
 
 function hashName(name: string): string {
   return createHash('sha256').update(name).digest('hex');
 }
 
 function buildOrganisation(name: string, revision: number): object {
-  const keys = Array.from({ length: KEYS }, (unused, index) => ({
+  const keys = Array.from({ length: KEYS_PER_ORGANISATION }, (unused, index) => ({
     id: `${name.replace('-', '')}k${index}`,
     salt: hashName(`${name}-${index}`).slice(0, 32),
     hash: hashName(`${name}-${index}-${revision}`),
@@ -54,11 +54,13 @@
 function buildVm(index: number): object {
   const address = `10.${Math.floor(index / 62_500)}.${Math.floor(index / 250) % 250}.${index % 250}:80`;
   const models = [`model-${index % MODELS}`];
-  const engines = { [`engine-${index}`]: { address, models, slots: SLOTS, checksFencing: true } };
+  const engines = {
+    [`engine-${index}`]: { address, models, slots: SLOTS_PER_ENGINE, checksFencing: true },
+  };
   return { zone: `zone-${index % ZONES}`, engines };
 }
 
-/** Every section holds its share of the organisations and of the VMs. */
+/** Builds one section with its share of the organisations and of the VMs. */
 function buildSection(
   index: number,
   sections: number,
@@ -82,14 +84,17 @@
   return { name: `team-${index}`, revision, text };
 }
 
-/** Its clock stands still, so that no builds are merged and each change pays for its own. */
+/**
+ * Creates a state whose clock stands still, so that builds are not merged and each change is measured
+ * with a build of its own.
+ */
 function createState(): Platform.ConfigurationState {
   const clock = { ...Kernel.createSystemClock(), getNowMs: () => 0 };
   return Platform.createConfigurationState({
     clock,
     logEvent: () => undefined,
     metrics: Kernel.createMetrics(undefined, {}),
-    news: Platform.createNewsKeeper(clock, STALE_MS),
+    news: Platform.createNewsKeeper(clock, STALE_AFTER_MS),
   });
 }
 
@@ -98,7 +103,7 @@
   return (user + system) / MICROS_PER_MS;
 }
 
-/** Bytes in use after everything that is unreachable was freed. */
+/** Measures the heap in use after a garbage collection. */
 function measureHeapBytes(): number {
   setFlagsFromString('--expose-gc');
   (runInNewContext('gc') as () => void)();
@@ -107,12 +112,12 @@
 
 function measureSize(size: number): ConfigurationSlope {
   const sections = Math.max(1, Math.round((size * SECTIONS) / ORGANISATIONS));
-  const before = measureHeapBytes();
+  const bytesBefore = measureHeapBytes();
   const state = createState();
   for (let index = 0; index < sections; index += 1) {
     state.applyRecords([buildSection(index, sections, size, index + 1)]);
   }
-  const held = measureHeapBytes() - before;
+  const heldBytes = measureHeapBytes() - bytesBefore;
   const changes = Array.from({ length: WARM_UP_CHANGES + MEASURED_CHANGES }, (unused, index) =>
     buildSection(index % sections, sections, size, sections + 1 + index),
   );
@@ -126,14 +131,14 @@
     role: 'configuration',
     size,
     cpuMs: Number(cpuMs.toFixed(3)),
-    memoryMB: Number((held / BYTES_PER_MB).toFixed(2)),
+    memoryMB: Number((heldBytes / BYTES_PER_MB).toFixed(2)),
     bytes: Math.round(bytes / measured.length),
   };
 }
 
-/** One row a size, smallest first. */
+/** Returns one row for each size, smallest first. */
 export function measureConfigurationSlopes(): readonly ConfigurationSlope[] {
-  // Discarded: the first run pays for the compiler.
+  // The first run is discarded, since it includes the time of the compiler.
   measureSize(SIZES[0]);
   return SIZES.map(measureSize);
 }
--- a/bench/src/control.ts
+++ b/bench/src/control.ts
@@ -1,6 +1,7 @@
 /**
- * What control costs: calls to the platform, bytes, processor time and memory of a router for knowing
- * its peers, its targets and the document, at 4 to 32 routers of one zone, and how that grows.
+ * Measures the cost of the control plane: calls to the platform, bytes, processor time and memory that
+ * a router needs to know its peers, its targets and the document, at 4 to 32 routers of one zone, and
+ * the growth with the number of routers.
  */
 import os from 'node:os';
 
@@ -10,7 +11,7 @@
 import * as Outputs from './output';
 
 const SIZES = [4, 8, 16, 32];
-/** Given for a node, for all control. */
+/** Budget of a node for all control work. */
 const BUDGETS = { bytesPerSecondPerNode: 23_000, cpuShare: 0.022, memoryMB: 64 } as const;
 const CHANGE_GOAL_MS = 8_000;
 const METRICS = [
@@ -25,14 +26,14 @@
 
 const NOTES = [
   'routers are kernels with the plug-ins platform and membership only, several in one process',
-  'one zone, so no calls to other zones; 372 targets, each reported by each router each second',
-  'the platform is the stand-in, counted there without the calls that make the changes',
+  'one zone, so no calls to other zones; 372 targets, each reported by each router once a second',
+  'calls are counted at the platform stand-in, without those that write the changes',
   'a waiting watch counts as one read a second; lease calls count as writes',
-  'bytes are of the sockets between routers, headers included, sent and received',
-  'memory is the growth of the heap after garbage collection, without that of Node.js itself',
-  'processor time includes compiling and collecting in threads of the runtime, and what else runs on the machine slows it',
-  'usage is measured with a change in six seconds (14,000 a day); delays also in a burst of two a second',
-  'a change is in force at a router when it has applied it; time counts from the accepted write',
+  'bytes are counted on the sockets between routers, sent and received, with headers',
+  'memory is the growth of the heap after garbage collection, without the heap of Node.js itself',
+  'processor time includes compiler and garbage collector threads; other load on the machine increases it',
+  'usage is measured with one change in six seconds (14,000 a day), delays also in a burst of two a second',
+  'a change is in force at a router once it is applied; the delay counts from the accepted write',
 ];
 
 function computeSlopes(rows: readonly ControlRow[]): Readonly<Record<string, unknown>> {
@@ -58,7 +59,7 @@
         `${row.routers} routers: ${metric} ${row[metric as keyof typeof BUDGETS]} of ${budget}`,
     );
     const isLate = row.changeInForceMsP99 > CHANGE_GOAL_MS || row.changesMissed > 0;
-    return isLate ? [...lines, `${row.routers} routers: changes late or missed`] : lines;
+    return isLate ? [...lines, `${row.routers} routers: changes were late or missed`] : lines;
   });
 }
 
@@ -81,7 +82,7 @@
     rows,
     slopes: computeSlopes(rows),
     budgets: BUDGETS,
-    /** Of the whole machine at the end, over one and five minutes, beside its processors. */
+    /** Load averages of the machine at the end, over one and five minutes, and its number of processors. */
     machine: { loadAverage: os.loadavg().slice(0, 2), processors: os.cpus().length },
     overBudget: listOverBudget(rows),
     notes: NOTES,
--- a/bench/src/control/__tests__/slopes.test.ts
+++ b/bench/src/control/__tests__/slopes.test.ts
@@ -5,7 +5,7 @@
 import * as Slopes from '../slopes';
 
 describe('least squares', () => {
-  it('finds the line through points on it, without spread', () => {
+  it('finds the line through points that lie on it, with no standard error', () => {
     const slope = Slopes.computeSlope([
       [4, 11],
       [8, 19],
@@ -14,7 +14,7 @@
     expect(slope).toEqual({ perUnit: 2, intercept: 3, standardError: 0 });
   });
 
-  it('tells how far off the points are', () => {
+  it('gives the standard error for points off the line', () => {
     const slope = Slopes.computeSlope([
       [0, 0],
       [1, 2],
--- a/bench/src/control/fleet.ts
+++ b/bench/src/control/fleet.ts
@@ -1,4 +1,4 @@
-/** One run of the control measurement: a platform stand-in and routers in a few processes. */
+/** Runs one control measurement with a platform stand-in and with routers in a few processes. */
 import { fork } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import path from 'node:path';
@@ -7,21 +7,24 @@
 import * as Standins from '@sequoiarill/standins';
 
 import * as Messages from './messages';
-import type { Order, Report, RevisionReport, UsageReport } from './messages';
+import type { Command, Report, RevisionReport, UsageReport } from './messages';
 
-/** Processes at most; routers share them evenly. */
+/** Maximum number of processes, among which the routers are spread evenly. */
 const MAX_PROCESSES = 4;
-/** Targets of a zone at the target size. */
+/** Targets of one zone at the size that the system is designed for. */
 export const TARGETS = 372;
-/** Until all know all and the code that runs a few times a second is compiled by then. */
-const SETTLE_MS = 22_000;
-/** What is used is measured at the design's rate of changes: 14,000 a day, one in six seconds. */
+/** Time after which all routers know each other and code that runs a few times a second is compiled. */
+const WARM_UP_MS = 22_000;
+/**
+ * Usage is measured at the rate of changes that the system is designed for: 14,000 a day, one in six
+ * seconds.
+ */
 const USAGE_WINDOW_MS = 18_000;
 const USAGE_INTERVAL_MS = 6_000;
-/** How soon changes are in force is measured in a burst as well. */
+/** The delay of changes is also measured in a burst. */
 const BURST_WINDOW_MS = 10_000;
 const BURST_INTERVAL_MS = 500;
-/** Past the goal, so that a miss shows as such and not as missing. */
+/** Longer than the goal, so that a late change is measured as late and not as missing. */
 const LAST_CHANGE_WAIT_MS = 9_000;
 const MS_PER_SECOND = 1_000;
 const BYTES_PER_MB = 1_048_576;
@@ -37,13 +40,13 @@
   readonly changeInForceMsP50: number;
   readonly changeInForceMsP99: number;
   readonly changes: number;
-  /** Pairs of change and router at which it never came into force within the run. */
+  /** Pairs of a change and a router at which it did not come into force within the run. */
   readonly changesMissed: number;
   readonly processes: number;
   readonly failedExchanges: number;
 }
 
-interface Host {
+interface RouterHost {
   readonly child: ChildProcess;
   readonly revisions: RevisionReport[];
 }
@@ -59,7 +62,7 @@
   });
 }
 
-function startHost(): Host {
+function startHost(): RouterHost {
   const child = fork(path.join(__dirname, 'routers.js'), { execArgv: ['--expose-gc'] });
   const revisions: RevisionReport[] = [];
   child.on('message', (report: Report) => {
@@ -69,13 +72,13 @@
 }
 
 function callHost<Kind extends Report['kind']>(
-  { child }: Host,
-  order: Order,
+  { child }: RouterHost,
+  command: Command,
   kind: Kind,
 ): Promise<Extract<Report, { kind: Kind }>> {
   return new Promise((resolve, reject) => {
     function handleExit(): void {
-      reject(new Error('a process of the measurement ended'));
+      reject(new Error('a process of the measurement exited'));
     }
     child.once('exit', handleExit);
     child.on('message', function handleReport(report: Report) {
@@ -84,28 +87,28 @@
       child.off('exit', handleExit);
       resolve(report as Extract<Report, { kind: Kind }>);
     });
-    child.send(order);
+    child.send(command);
   });
 }
 
-async function stopHost({ child }: Host): Promise<void> {
+async function stopHost({ child }: RouterHost): Promise<void> {
   const ended = new Promise((resolve) => {
     child.once('exit', resolve);
   });
-  child.send({ kind: 'stop' } satisfies Order);
+  child.send({ kind: 'stop' } satisfies Command);
   await ended;
 }
 
 const SECTIONS = 4;
 
-/** A text that differs from all others of the run. */
+/** Builds a text that differs from all others of the run. */
 function buildEdit(number: number, run: number): PlatformPlugin.SectionEdit {
   const section = `team-${number % SECTIONS}`;
   const models = { [`model-${section}`]: { version: `v${run}-${number}`, contextTokens: 8192 } };
   return { section, text: JSON.stringify({ models }), file: 'bench' };
 }
 
-/** Accepts one change each interval; the time counts from the acceptance. */
+/** Writes one change per interval; a change's time is that of its acceptance by the platform. */
 async function runChanges(
   editor: PlatformPlugin.DocumentEditor,
   durationMs: number,
@@ -122,16 +125,19 @@
   return changes;
 }
 
-/** Until each router first ran the change's revision or a later one, in milliseconds. */
+/**
+ * Lists, for each change and router, the milliseconds until the router ran that revision or a later
+ * one.
+ */
 function listDelays(
   changes: readonly Change[],
   revisions: readonly RevisionReport[],
   routers: readonly string[],
 ): readonly (number | undefined)[] {
   return routers.flatMap((router) => {
-    const own = revisions.filter((report) => report.router === router);
+    const routerReports = revisions.filter((report) => report.router === router);
     return changes.map((change) => {
-      const first = own.find((report) => report.revision >= change.revision);
+      const first = routerReports.find((report) => report.revision >= change.revision);
       return first === undefined ? undefined : Math.max(0, first.atMs - change.atMs);
     });
   });
@@ -142,9 +148,12 @@
   return sorted[Math.min(sorted.length - 1, Math.ceil(sorted.length * share) - 1)] ?? Number.NaN;
 }
 
-async function startHosts(names: readonly string[], platform: string): Promise<readonly Host[]> {
+async function startHosts(
+  names: readonly string[],
+  platform: string,
+): Promise<readonly RouterHost[]> {
   const count = Math.min(MAX_PROCESSES, names.length);
-  const hosts: Host[] = [];
+  const hosts: RouterHost[] = [];
   let seeds: readonly string[] = [];
   for (let index = 0; index < count; index += 1) {
     const host = startHost();
@@ -153,12 +162,12 @@
       host,
       {
         kind: 'start',
-        names: names.filter((_name, place) => place % count === index),
+        names: names.filter((_name, position) => position % count === index),
         zone: 'z1',
         region: 'r1',
         platform,
         seeds,
-        targets: Array.from({ length: TARGETS }, (_unused, place) => `engine-z1-${place}`),
+        targets: Array.from({ length: TARGETS }, (_unused, position) => `engine-z1-${position}`),
       },
       'started',
     );
@@ -167,7 +176,7 @@
   return hosts;
 }
 
-function callAll(hosts: readonly Host[]): Promise<readonly UsageReport[]> {
+function measureUsage(hosts: readonly RouterHost[]): Promise<readonly UsageReport[]> {
   return Promise.all(hosts.map((host) => callHost(host, { kind: 'measure' }, 'usage')));
 }
 
@@ -200,17 +209,17 @@
   await editor.putSection(buildEdit(0, 0));
   const names = Array.from({ length: count }, (_unused, index) => `router-z1-${index}`);
   const hosts = await startHosts(names, address);
-  await waitMs(SETTLE_MS);
+  await waitMs(WARM_UP_MS);
 
-  const before = await callAll(hosts);
+  const before = await measureUsage(hosts);
   const countersBefore = standin.getCounters();
-  const ownBefore = connection.counter.getCounts();
+  const editorCallsBefore = connection.counter.getCounts();
   const startMs = Messages.getMachineMs();
   const steady = await runChanges(editor, USAGE_WINDOW_MS, USAGE_INTERVAL_MS);
   const seconds = (Messages.getMachineMs() - startMs) / MS_PER_SECOND;
   const countersAfter = standin.getCounters();
-  const ownAfter = connection.counter.getCounts();
-  const after = await callAll(hosts);
+  const editorCallsAfter = connection.counter.getCounts();
+  const after = await measureUsage(hosts);
   const burst = await runChanges(editor, BURST_WINDOW_MS, BURST_INTERVAL_MS);
   await waitMs(LAST_CHANGE_WAIT_MS);
   await Promise.all(hosts.map(stopHost));
@@ -218,41 +227,41 @@
   await standin.stop();
 
   const alive = Math.min(...after.map((report) => report.alivePeers));
-  if (alive !== count) throw new Error(`routers know ${alive} of ${count}; the run counts nothing`);
+  if (alive !== count) throw new Error(`routers know ${alive} of ${count}; the run is invalid`);
   const changes = [...steady, ...burst];
   const delays = listDelays(
     changes,
     hosts.flatMap((host) => host.revisions),
     names,
   );
-  const known = delays.filter((delay) => delay !== undefined);
-  const rise = (pick: (report: UsageReport) => number) =>
+  const observedDelays = delays.filter((delay) => delay !== undefined);
+  const computeRate = (pick: (report: UsageReport) => number) =>
     (computeSum(after, pick) - computeSum(before, pick)) / seconds / count;
   const readCalls =
     countersAfter.reads +
     countersAfter.watchesOpened -
     countersBefore.reads -
     countersBefore.watchesOpened -
-    (ownAfter.read - ownBefore.read);
+    (editorCallsAfter.read - editorCallsBefore.read);
   const writeCalls =
     countersAfter.writes +
     countersAfter.leaseCalls -
     countersBefore.writes -
     countersBefore.leaseCalls -
-    (ownAfter.write - ownBefore.write);
+    (editorCallsAfter.write - editorCallsBefore.write);
   return {
     routers: count,
     platformReadsPerSecond: readCalls / seconds + countersAfter.watchesOpen,
     platformWritesPerSecond: writeCalls / seconds,
-    // Each byte is sent by one router and received by another, and counted once where it is served.
-    bytesPerSecondPerNode: 2 * rise((report) => report.servedBytes),
-    cpuShare: rise((report) => report.cpuMicros) / MICROS_PER_SECOND,
+    // Each byte is sent by one router and received by another; only the serving router counts it.
+    bytesPerSecondPerNode: 2 * computeRate((report) => report.servedBytes),
+    cpuShare: computeRate((report) => report.cpuMicros) / MICROS_PER_SECOND,
     memoryMB:
       computeSum(after, (report) => report.heapBytes - report.idleHeapBytes) / count / BYTES_PER_MB,
-    changeInForceMsP50: computePercentile(known, 0.5),
-    changeInForceMsP99: computePercentile(known, 0.99),
+    changeInForceMsP50: computePercentile(observedDelays, 0.5),
+    changeInForceMsP99: computePercentile(observedDelays, 0.99),
     changes: changes.length,
-    changesMissed: delays.length - known.length,
+    changesMissed: delays.length - observedDelays.length,
     processes: hosts.length,
     failedExchanges: computeSum(after, (report) => report.failedExchanges),
   };
--- a/bench/src/control/messages.ts
+++ b/bench/src/control/messages.ts
@@ -1,7 +1,7 @@
-/** Messages between the control measurement and the processes that hold its routers. */
+/** Messages between the control measurement and the processes that run its routers. */
 
-/** What a process is told to run. */
-export interface RoutersOrder {
+/** Starts the given routers in the process. */
+export interface StartCommand {
   readonly kind: 'start';
   readonly names: readonly string[];
   readonly zone: string;
@@ -11,35 +11,35 @@
   readonly targets: readonly string[];
 }
 
-export interface MeasureOrder {
+export interface MeasureCommand {
   readonly kind: 'measure';
 }
 
-export interface StopOrder {
+export interface StopCommand {
   readonly kind: 'stop';
 }
 
-export type Order = RoutersOrder | MeasureOrder | StopOrder;
+export type Command = StartCommand | MeasureCommand | StopCommand;
 
 export interface StartedReport {
   readonly kind: 'started';
   readonly addresses: readonly string[];
 }
 
-/** Counters since the start; differences of two make rates. */
+/** Counters since the start; rates follow from the difference of two reports. */
 export interface UsageReport {
   readonly kind: 'usage';
   readonly cpuMicros: number;
-  /** Sent and received on the sockets that peers opened to these routers. */
+  /** Bytes sent and received on connections that peers opened to these routers. */
   readonly servedBytes: number;
   readonly heapBytes: number;
-  /** The same before the first router was started. */
+  /** Heap before the first router was started. */
   readonly idleHeapBytes: number;
   readonly alivePeers: number;
   readonly failedExchanges: number;
 }
 
-/** A router runs this revision; time of the machine's monotonic clock, in milliseconds. */
+/** Sent when a router applies a revision; `atMs` is a time of the machine's monotonic clock. */
 export interface RevisionReport {
   readonly kind: 'revision';
   readonly router: string;
@@ -51,7 +51,7 @@
 
 const NANOS_PER_MS = 1e6;
 
-/** One clock for all processes of the machine. */
+/** Reads the monotonic clock, which all processes of the machine share. */
 export function getMachineMs(): number {
   return Number(process.hrtime.bigint()) / NANOS_PER_MS;
 }
--- a/bench/src/control/routers.ts
+++ b/bench/src/control/routers.ts
@@ -1,6 +1,6 @@
 /**
- * Several routers in one process: only platform and membership, which are the control work, with
- * every router telling the load of every target of its zone each second.
+ * Runs several routers in one process, with only the plug-ins platform and membership, which do the
+ * control work. Every router reports the load of every target of its zone each second.
  */
 import * as Kernel from '@sequoiarill/kernel';
 import * as MembershipPlugin from '@sequoiarill/plugin-membership';
@@ -9,9 +9,9 @@
 import * as Zod from 'zod';
 
 import * as Messages from './messages';
-import type { Order, Report, RoutersOrder } from './messages';
+import type { Command, Report, StartCommand } from './messages';
 
-/** Reports of a second are spread over so many ticks, as they are when streams bring them. */
+/** The reports of a second are spread over this number of ticks, as they are when streams carry them. */
 const TICKS_PER_SECOND = 20;
 const MS_PER_SECOND = 1_000;
 const MAX_LOAD = 170;
@@ -29,8 +29,8 @@
   process.send?.(report);
 }
 
-/** Tells when a revision is in force at a router. */
-function createWatcher(router: string): Plugin {
+/** Creates a plug-in that reports when a revision is in force at the router. */
+function createRevisionMonitor(router: string): Plugin {
   return {
     name: 'watcher',
     settingsSchema: Zod.unknown(),
@@ -47,31 +47,31 @@
   };
 }
 
-async function startRouter(name: string, order: RoutersOrder): Promise<Router> {
+async function startRouter(name: string, command: StartCommand): Promise<Router> {
   const platform = PlatformPlugin.platformSchema.parse({
-    endpoints: order.platform,
+    endpoints: command.platform,
     reader: 'auto',
   });
   const kernel = Kernel.createKernel({
     settings: {
-      process: { name, zone: order.zone, region: order.region },
+      process: { name, zone: command.zone, region: command.region },
       telemetry: { logLevel: 'silent' },
       plugins: new Map<string, unknown>([
         ['platform', platform],
-        ['membership', { listen: '127.0.0.1:0', seeds: order.seeds }],
+        ['membership', { listen: '127.0.0.1:0', seeds: command.seeds }],
       ]),
     },
     plugins: [
       PlatformPlugin.platformPlugin as Plugin,
       MembershipPlugin.plugin as Plugin,
-      createWatcher(name),
+      createRevisionMonitor(name),
     ],
   });
   await kernel.start();
   return { kernel, membership: kernel.getCapability('membership') };
 }
 
-/** Each router sees each target's load once a second. */
+/** Reports the load of each target once a second, as a router with traffic does. */
 function startReports(membership: Membership, targets: readonly string[]): void {
   let tick = 0;
   const timer = setInterval(() => {
@@ -85,15 +85,15 @@
   timers.push(timer);
 }
 
-async function runStart(order: RoutersOrder): Promise<void> {
+async function runStart(command: StartCommand): Promise<void> {
   idleHeapBytes = measureHeap();
   const addresses: string[] = [];
-  for (const name of order.names) {
-    // The very first router of the zone is the seed of all others.
-    const seeds = order.seeds.length > 0 ? order.seeds : addresses.slice(0, 1);
-    const router = await startRouter(name, { ...order, seeds });
+  for (const name of command.names) {
+    // The first router of the zone is the seed of all others.
+    const seeds = command.seeds.length > 0 ? command.seeds : addresses.slice(0, 1);
+    const router = await startRouter(name, { ...command, seeds });
     routers.push(router);
-    startReports(router.membership, order.targets);
+    startReports(router.membership, command.targets);
     const dump = await router.kernel.dumpProcess();
     addresses.push(String(dump.plugins.membership?.address));
   }
@@ -114,21 +114,21 @@
 async function runMeasure(): Promise<void> {
   const { user, system } = process.cpuUsage();
   const dumps = await Promise.all(routers.map(({ kernel }) => kernel.dumpProcess()));
-  const parts = dumps.map((dump) => dump.plugins.membership as unknown as MembershipDump);
+  const membershipDumps = dumps.map((dump) => dump.plugins.membership as unknown as MembershipDump);
   const alive = routers.map(
     ({ membership }) => membership.listPeers().filter(({ state }) => state === 'alive').length,
   );
   sendReport({
     kind: 'usage',
     cpuMicros: user + system,
-    servedBytes: parts.reduce(
+    servedBytes: membershipDumps.reduce(
       (sum, { served }) => sum + served.bytesSent + served.bytesReceived,
       0,
     ),
     heapBytes: measureHeap(),
     idleHeapBytes,
     alivePeers: Math.min(...alive),
-    failedExchanges: parts.reduce((sum, { exchanges }) => sum + exchanges.failed, 0),
+    failedExchanges: membershipDumps.reduce((sum, { exchanges }) => sum + exchanges.failed, 0),
   });
 }
 
@@ -139,21 +139,21 @@
   process.disconnect();
 }
 
-async function handleOrder(order: Order): Promise<void> {
-  if (order.kind === 'start') await runStart(order);
-  else if (order.kind === 'measure') await runMeasure();
+async function handleCommand(command: Command): Promise<void> {
+  if (command.kind === 'start') await runStart(command);
+  else if (command.kind === 'measure') await runMeasure();
   else await runStop();
 }
 
-process.on('message', (order: Order) => {
-  handleOrder(order).catch((error: unknown) => {
+process.on('message', (command: Command) => {
+  handleCommand(command).catch((error: unknown) => {
     process.stderr.write(`${(error as Error).stack ?? String(error)}\n`);
     process.exitCode = 1;
     process.disconnect();
   });
 });
 
-// The measurement failed or was stopped: nobody would tell these routers to stop.
+// Exits when the measurement has failed or was stopped, since no stop command will follow.
 process.on('disconnect', () => {
   process.exitCode ??= 0;
   setImmediate(() => process.kill(process.pid, 'SIGTERM'));
--- a/bench/src/control/slopes.ts
+++ b/bench/src/control/slopes.ts
@@ -1,9 +1,9 @@
-/** Least squares through measured points. */
+/** Least-squares fit through measured points. */
 
 export interface Slope {
   readonly perUnit: number;
   readonly intercept: number;
-  /** Standard error of the slope: two thirds of repeated runs lie within it. */
+  /** Standard error of the slope: about two thirds of repeated runs lie within it. */
   readonly standardError: number;
 }
 
--- a/bench/src/decisionSlopes.ts
+++ b/bench/src/decisionSlopes.ts
@@ -1,19 +1,19 @@
-/** What the decisions of one router cost at growing sizes, for the capacity page. */
+/** Measures what a router's decisions cost at growing sizes, for the capacity page. */
 import * as Cases from './decisions/cases';
 import * as Timing from './decisions/timing';
 
-/** Servers of one model in a zone, and multiples of it up to two zones of servers. */
+/** Servers of one model in a zone (46), and multiples up to all servers of two zones (744). */
 export const TARGET_SIZES = [46, 93, 186, 372, 744] as const;
 export const ORGANISATION_SIZES = [650, 1_625, 3_250, 6_500] as const;
 
 export interface SlopeRow {
-  /** Which decision. */
+  /** The measured decision and the unit of its size. */
   readonly role: string;
-  /** Targets or organisations, as the role says. */
+  /** Number of targets or organisations, depending on the role. */
   readonly size: number;
-  /** Of one decision, microseconds of processor time. */
+  /** Processor time of one decision, in microseconds. */
   readonly cpuMicros: number;
-  /** Of its whole state at that size, bytes of heap. */
+  /** Heap of the complete state at that size, in bytes. */
   readonly memoryBytes: number;
 }
 
@@ -26,7 +26,7 @@
   return { role, size, cpuMicros: Timing.measureMicros(call), memoryBytes };
 }
 
-/** Some seconds of one core. */
+/** Measures all rows, which takes some seconds on one core. */
 export function measureDecisionSlopes(): readonly SlopeRow[] {
   const rows: SlopeRow[] = [];
   for (const size of TARGET_SIZES) {
@@ -38,10 +38,12 @@
   for (const size of ORGANISATION_SIZES) {
     const admissionBytes = Timing.measureBytes(() => Cases.createAdmissionCase(size));
     const admission = Cases.createAdmissionCase(size);
-    rows.push(measureRow('admission/organisations', size, admission.playRequest, admissionBytes));
+    rows.push(
+      measureRow('admission/organisations', size, admission.simulateRequest, admissionBytes),
+    );
     const sharesBytes = Timing.measureBytes(() => Cases.createSharesCase(size));
     const shares = Cases.createSharesCase(size);
-    rows.push(measureRow('fleetShares/organisations', size, shares.playRequest, sharesBytes));
+    rows.push(measureRow('fleetShares/organisations', size, shares.simulateRequest, sharesBytes));
   }
   return rows;
 }
--- a/bench/src/decisions.ts
+++ b/bench/src/decisions.ts
@@ -1,5 +1,5 @@
-/** Decisions under load: every pattern through our policy and the baselines, and what a decision costs. */
-import * as Play from '@sequoiarill/decisions/lib/simulation';
+/** Simulates every workload with our policy and the baselines, and measures the cost of a decision. */
+import * as Simulation from '@sequoiarill/decisions/lib/simulation';
 import { Command } from 'commander';
 
 import * as Cases from './decisions/cases';
@@ -16,11 +16,15 @@
   readonly pattern?: string;
 }
 
-function playAll(only: string | undefined): readonly Play.SimulationSummary[] {
-  const policies = [Play.OWN_POLICY, ...Play.BASELINE_POLICIES, ...Play.BASELINE_CHOICE_POLICIES];
-  return Play.WORKLOADS.filter((pattern) => only === undefined || pattern.name === only).flatMap(
-    (pattern) => policies.map((policy) => Means.playMean(pattern, policy)),
-  );
+function simulateWorkloads(only: string | undefined): readonly Simulation.SimulationSummary[] {
+  const policies = [
+    Simulation.OWN_POLICY,
+    ...Simulation.BASELINE_POLICIES,
+    ...Simulation.BASELINE_CHOICE_POLICIES,
+  ];
+  return Simulation.WORKLOADS.filter(
+    (workload) => only === undefined || workload.name === only,
+  ).flatMap((workload) => policies.map((policy) => Means.simulateMean(workload, policy)));
 }
 
 function measureDecision(): number {
@@ -28,15 +32,15 @@
   const admission = Cases.createAdmissionCase(ORGANISATIONS);
   const shares = Cases.createSharesCase(ORGANISATIONS);
   return Timing.measureMicros((index) => {
-    shares.playRequest(index);
-    admission.playRequest(index);
+    shares.simulateRequest(index);
+    admission.simulateRequest(index);
     choose(index);
   });
 }
 
 function runBench(options: Options): void {
   const report = Reports.buildReport(
-    playAll(options.pattern),
+    simulateWorkloads(options.pattern),
     Slopes.measureDecisionSlopes(),
     measureDecision(),
   );
@@ -45,8 +49,8 @@
 }
 
 new Command('bench:decisions')
-  .description('plays patterns of load through our decisions and through baselines')
+  .description('simulates workloads with our policy and with baseline policies')
   .option('--json', 'print JSON')
-  .option('--pattern <name>', 'play only this pattern')
+  .option('--pattern <name>', 'simulate only this workload')
   .action(runBench)
   .parse();
--- a/bench/src/decisions/cases.ts
+++ b/bench/src/decisions/cases.ts
@@ -1,12 +1,12 @@
-/** The decisions as a router of the size to design for makes them, ready to be timed. */
+/** Prepares decisions for timing, at the size of a router that the system is designed for. */
 import * as Decisions from '@sequoiarill/decisions';
-import * as Play from '@sequoiarill/decisions/lib/simulation';
+import * as Simulation from '@sequoiarill/decisions/lib/simulation';
 
 const SEED = 5;
 const SLOTS = 32;
 const MODEL = 'model';
 const LIMITS = { tokensPerSecond: 1e9, concurrentRequests: 1e6 };
-/** Of a router at 67 requests a second and 30 s a stream. */
+/** Running requests of a router that gets 67 requests a second with streams of 30 s. */
 const RUNNING = 2_000;
 const ROUTERS = 32;
 
@@ -25,9 +25,9 @@
   };
 }
 
-/** The end of one stream and one choice among so many targets, with a prefix that was mostly seen. */
+/** Each call ends one stream and chooses among the targets for a request with a mostly known prefix. */
 export function createChoiceCase(targets: number): (index: number) => void {
-  const nextRandom = Play.createRandom(SEED);
+  const nextRandom = Simulation.createRandom(SEED);
   const candidates = Array.from({ length: targets }, (_value, index) =>
     buildView(index, nextRandom),
   );
@@ -51,12 +51,12 @@
 
 interface AdmissionCase {
   readonly admission: Decisions.Admission;
-  readonly playRequest: (index: number) => void;
+  readonly simulateRequest: (index: number) => void;
 }
 
-/** A saturated router: each call is one request at the door and the end of one running. */
+/** Creates a saturated router: each call admits one request and ends one running request. */
 export function createAdmissionCase(organisations: number): AdmissionCase {
-  const nextRandom = Play.createRandom(SEED);
+  const nextRandom = Simulation.createRandom(SEED);
   const admission = Decisions.createAdmission({
     nextRandom,
     createLimit: () =>
@@ -68,22 +68,23 @@
       }),
   });
   const running: Decisions.Permit[] = [];
-  const known = Array.from({ length: organisations }, (_value, index) => ({
+  const organisationList = Array.from({ length: organisations }, (_value, index) => ({
     name: `organisation-${index}`,
     weight: 1 + (index % 4),
     priority: 5,
     limits: LIMITS,
   }));
 
-  function playRequest(index: number): void {
+  function simulateRequest(index: number): void {
     const nowMs = index * 10;
-    const organisation = known[Math.floor(nextRandom() * known.length)] ?? known[0];
+    const organisation =
+      organisationList[Math.floor(nextRandom() * organisationList.length)] ?? organisationList[0];
     if (organisation === undefined) return;
-    const answer = admission.admitRequest(
+    const decision = admission.admitRequest(
       { organisation, model: MODEL, promptTokens: 900, maxOutputTokens: 4_000 },
       nowMs,
     );
-    if (answer.kind === 'admitted') running.push(answer.permit);
+    if (decision.kind === 'admitted') running.push(decision.permit);
     if (running.length < RUNNING) return;
     const ended = running.shift();
     if (ended !== undefined) admission.releasePermit(ended, { outputTokens: 500 }, nowMs);
@@ -92,18 +93,18 @@
     }
   }
 
-  for (let index = 0; index < organisations * 2; index += 1) playRequest(index);
-  return { admission, playRequest: (index) => playRequest(index + organisations * 2) };
+  for (let index = 0; index < organisations * 2; index += 1) simulateRequest(index);
+  return { admission, simulateRequest: (index) => simulateRequest(index + organisations * 2) };
 }
 
 interface SharesCase {
   readonly shares: Decisions.FleetShares;
-  readonly playRequest: (index: number) => void;
+  readonly simulateRequest: (index: number) => void;
 }
 
-/** Demand of all organisations, known of every router of a zone. */
+/** Creates shares with the demand of all organisations, as reported by every router of a zone. */
 export function createSharesCase(organisations: number): SharesCase {
-  const nextRandom = Play.createRandom(SEED);
+  const nextRandom = Simulation.createRandom(SEED);
   const shares = Decisions.createFleetShares({
     routerName: 'router-0',
     incarnation: 1,
@@ -124,17 +125,17 @@
       });
     }
   }
-  const playRequest = (index: number) => {
+  const simulateRequest = (index: number) => {
     const organisation = `organisation-${Math.floor(nextRandom() * organisations)}`;
     shares.recordDemand(organisation, 1_400, index * 15);
     shares.getShare(organisation, index * 15);
   };
-  return { shares, playRequest };
+  return { shares, simulateRequest };
 }
 
-/** One gap at a stall policy and an outlier detector that know so many targets. */
+/** Each call records one gap in a stall policy and an outlier detector with this number of targets. */
 export function createGapCase(targets: number): (index: number) => void {
-  const nextRandom = Play.createRandom(SEED);
+  const nextRandom = Simulation.createRandom(SEED);
   const policy = Decisions.createStallPolicy();
   const detector = Decisions.createOutlierDetector();
   return (index) => {
--- a/bench/src/decisions/means.ts
+++ b/bench/src/decisions/means.ts
@@ -1,23 +1,23 @@
-/** One pattern with several seeds: a single run differs by about a hundredth of capacity. */
-import * as Play from '@sequoiarill/decisions/lib/simulation';
+/** Simulates a workload with several seeds, since single runs differ by about 1 % of capacity. */
+import * as Simulation from '@sequoiarill/decisions/lib/simulation';
 
 const SEEDS = 3;
 const SEED_STEP = 1_000;
 
-/** Means of shares and times; counts are of all runs, the longest pause is the longest of any. */
-export function playMean(
-  pattern: Play.Workload,
-  policy: Play.PolicyDefinition,
-): Play.SimulationSummary {
+/** Returns means of shares and times, sums of counts, and the longest pause of all runs. */
+export function simulateMean(
+  workload: Simulation.Workload,
+  policy: Simulation.PolicyDefinition,
+): Simulation.SimulationSummary {
   const runs = Array.from({ length: SEEDS }, (_value, index) =>
-    Play.simulateWorkload({ ...pattern, seed: pattern.seed + index * SEED_STEP }, policy),
+    Simulation.simulateWorkload({ ...workload, seed: workload.seed + index * SEED_STEP }, policy),
   );
-  const computeSum = (key: keyof Play.SimulationSummary) =>
+  const computeSum = (key: keyof Simulation.SimulationSummary) =>
     runs.reduce((sum, run) => sum + Number(run[key]), 0);
-  const computeMean = (key: keyof Play.SimulationSummary) => computeSum(key) / SEEDS;
+  const computeMean = (key: keyof Simulation.SimulationSummary) => computeSum(key) / SEEDS;
   return {
     policy: policy.name,
-    pattern: pattern.name,
+    pattern: workload.name,
     goodputShare: computeMean('goodputShare'),
     goodputOfAsked: computeMean('goodputOfAsked'),
     p95FirstTokenMs: Math.round(computeMean('p95FirstTokenMs')),
--- a/bench/src/decisions/report.ts
+++ b/bench/src/decisions/report.ts
@@ -1,5 +1,5 @@
-/** The run as people and programs read it. */
-import type * as Play from '@sequoiarill/decisions/lib/simulation';
+/** Builds the report of a run, and formats it as text. */
+import type * as Simulation from '@sequoiarill/decisions/lib/simulation';
 
 import type { SlopeRow } from '../decisionSlopes';
 
@@ -15,25 +15,27 @@
 }
 
 export interface DecisionsReport {
-  readonly patterns: readonly Play.SimulationSummary[];
+  readonly patterns: readonly Simulation.SimulationSummary[];
   readonly slopes: readonly SlopeRow[];
-  /** One request at 372 targets and 6,500 organisations: admission, shares and choice together. */
+  /** Processor time of one request at 372 targets and 6,500 organisations: admission, shares and choice. */
   readonly microsPerDecision: number;
   readonly goals: readonly Goal[];
 }
 
-function findOwn(rows: readonly Play.SimulationSummary[]): readonly Play.SimulationSummary[] {
+function findOwn(
+  rows: readonly Simulation.SimulationSummary[],
+): readonly Simulation.SimulationSummary[] {
   return rows.filter((row) => row.policy === 'ours');
 }
 
 function formatWorst(
-  rows: readonly Play.SimulationSummary[],
+  rows: readonly Simulation.SimulationSummary[],
   key: 'worstShare' | 'p95FirstTokenMs',
 ) {
   return rows.map((row) => `${row.pattern} ${Math.round(row[key] * 1000) / 1000}`).join(', ');
 }
 
-function checkSaturation(own: readonly Play.SimulationSummary[]): Goal {
+function checkSaturation(own: readonly Simulation.SimulationSummary[]): Goal {
   const saturation = own.find((row) => row.pattern === 'saturation');
   const goodput = saturation?.goodputShare ?? 0;
   return {
@@ -43,25 +45,25 @@
   };
 }
 
-function checkFairness(own: readonly Play.SimulationSummary[]): Goal {
+function checkFairness(own: readonly Simulation.SimulationSummary[]): Goal {
   const below = own.filter((row) => row.worstShare < SHARE_GOAL);
   return {
-    goal: `the worst organisation gets at least ${SHARE_GOAL} of its fair share in every pattern`,
+    goal: `the worst organisation gets at least ${SHARE_GOAL} of its fair share in every workload`,
     isMet: below.length === 0,
     measured: below.length === 0 ? 'all' : `below: ${formatWorst(below, 'worstShare')}`,
   };
 }
 
-function checkFirstToken(own: readonly Play.SimulationSummary[]): Goal {
+function checkFirstToken(own: readonly Simulation.SimulationSummary[]): Goal {
   const above = own.filter((row) => row.p95FirstTokenMs > 1_000);
   return {
-    goal: 'the 95th percentile of the first token of admitted work is at most 1 s in every pattern',
+    goal: 'the 95th percentile of the first token of admitted work is at most 1 s in every workload',
     isMet: above.length === 0,
     measured: formatWorst(above.length === 0 ? own : above, 'p95FirstTokenMs'),
   };
 }
 
-function checkBaselines(rows: readonly Play.SimulationSummary[]): Goal {
+function checkBaselines(rows: readonly Simulation.SimulationSummary[]): Goal {
   const behind: string[] = [];
   for (const own of findOwn(rows)) {
     const better = rows.filter(
@@ -73,7 +75,7 @@
     behind.push(...better.map((row) => `${own.pattern}: ${row.policy}`));
   }
   return {
-    goal: 'goodput is ahead of every baseline in every pattern',
+    goal: 'goodput is ahead of every baseline in every workload',
     isMet: behind.length === 0,
     measured: behind.length === 0 ? 'ahead in all' : `behind in ${behind.join(', ')}`,
   };
@@ -87,7 +89,7 @@
   };
 }
 
-/** No faster than the logarithm: from 46 to 744 targets the logarithm grows 1.73 times. */
+/** The time may grow no faster than the logarithm, which is 1.73 times larger at 744 targets than at 46. */
 function checkGrowth(slopes: readonly SlopeRow[]): Goal {
   const rows = slopes.filter((row) => row.role === 'targetChoice/targets');
   const first = rows[0];
@@ -103,7 +105,7 @@
 }
 
 export function buildReport(
-  patterns: readonly Play.SimulationSummary[],
+  patterns: readonly Simulation.SimulationSummary[],
   slopes: readonly SlopeRow[],
   microsPerDecision: number,
 ): DecisionsReport {
--- a/bench/src/index.ts
+++ b/bench/src/index.ts
@@ -1,2 +1,2 @@
-/** Measurements: ratios in one run, printed as JSON. */
+/** Measurements that compare values of the same run and print them as JSON. */
 export * from './output';
--- a/bench/src/membershipSlopes.ts
+++ b/bench/src/membershipSlopes.ts
@@ -1,6 +1,6 @@
 /**
- * What membership costs a router by the size of the fleet, measured on its pure parts in virtual
- * time: whole fleets of up to 570 routers in one process, messages as JSON but without sockets.
+ * Measures what membership costs a router by the size of the fleet. Runs the pure core in virtual
+ * time: fleets of up to 570 routers in one process, with messages as JSON but without sockets.
  */
 import { createHash } from 'node:crypto';
 import v8 from 'node:v8';
@@ -13,22 +13,25 @@
 
 const DEFAULT_SIZES = [8, 32, 96, 288, 570];
 const ZONE_SIZE = 32;
-const ZONES_A_REGION = 3;
-const TARGETS_A_ZONE = 372;
-const SETTLE_MS = 15_000;
+const ZONES_PER_REGION = 3;
+const TARGETS_PER_ZONE = 372;
+const WARM_UP_MS = 15_000;
 const WINDOW_MS = 4_000;
-const REPORT_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 const MS_PER_SECOND = 1_000;
-/** Headers of a call and its answer, both ways, as `bench:control` counts them on sockets. */
+/**
+ * Size of the headers of a request and its response together, as `bench:control` counts them on
+ * sockets.
+ */
 const HEADER_BYTES = 700;
 const SEED = 1;
 
 export interface MembershipSlopeRow {
   readonly role: 'membership';
-  /** Routers of the fleet, in zones of at most 32. */
+  /** Number of routers in the fleet, in zones of at most 32. */
   readonly size: number;
   readonly cpuMicrosPerSecond: number;
-  /** Sent and received. */
+  /** Bytes sent and received. */
   readonly bytesPerSecond: number;
   readonly memoryBytes: number;
 }
@@ -51,9 +54,9 @@
 }
 
 function createConfiguration(): ConfigurationExchange {
-  const news: ConfigurationAnnouncement = { readerFence: 1, readerBeat: 1, revision: 1 };
+  const announcement: ConfigurationAnnouncement = { readerFence: 1, readerBeat: 1, revision: 1 };
   return {
-    getAnnouncement: () => news,
+    getAnnouncement: () => announcement,
     listSectionsAfter: () => [],
     mergeSections: () => undefined,
   };
@@ -62,7 +65,7 @@
 function createRouter(index: number, getNowMs: () => number, nextRandom: () => number): Router {
   const zone = Math.floor(index / ZONE_SIZE);
   const name = `router-z${zone}-${index}`;
-  const region = `region-${Math.floor(zone / ZONES_A_REGION)}`;
+  const region = `region-${Math.floor(zone / ZONES_PER_REGION)}`;
   const address = `10.0.${zone}.${index % ZONE_SIZE}:8091`;
   const process = { name, zone: `zone-${zone}`, region };
   const state = Core.createExchangeState({
@@ -79,10 +82,10 @@
   return { address, zone, state, rounds };
 }
 
-function handleCall(to: Router, call: Core.PeerCall): unknown {
-  if (call.procedure === 'exchange') return Core.handleExchange(to.state, call.input);
-  if (call.procedure === 'mergePeers') return Core.handlePeers(to.state, call.input);
-  throw new Error(`not a part of a quiet fleet: ${call.procedure}`);
+function handleCall(receiver: Router, call: Core.PeerCall): unknown {
+  if (call.procedure === 'exchange') return Core.handleExchange(receiver.state, call.input);
+  if (call.procedure === 'mergePeers') return Core.handlePeers(receiver.state, call.input);
+  throw new Error(`unexpected call in a fleet without changes: ${call.procedure}`);
 }
 
 function createFleet(size: number): Fleet {
@@ -94,7 +97,7 @@
     createRouter(index, () => nowMs, nextRandom),
   );
   const byAddress = new Map(routers.map((router) => [router.address, router]));
-  // All know all from the start: how they find each other is not what is measured.
+  // All routers know each other from the start, since discovery is not measured.
   const records = routers.map(({ state }) => state.peers.getSelf());
   routers.forEach(({ state }) => state.mergeRecords(records));
 
@@ -102,19 +105,19 @@
     const task = Core.runExchange(router.state, address);
     let step = task.next();
     while (step.done !== true) {
-      const to = byAddress.get(step.value.address);
-      if (to === undefined) throw new Error(`no router at ${step.value.address}`);
+      const receiver = byAddress.get(step.value.address);
+      if (receiver === undefined) throw new Error(`no router at ${step.value.address}`);
       const input = JSON.stringify(step.value.input);
-      const output = JSON.stringify(handleCall(to, step.value));
+      const output = JSON.stringify(handleCall(receiver, step.value));
       bytes += HEADER_BYTES + input.length + output.length;
       step = task.next({ kind: 'answered', output: JSON.parse(output) as never });
     }
   }
 
-  /** The share of its targets whose load a router sees in this round. */
+  /** Reports the load of the targets that the router has a report on in this round. */
   function reportTargets(router: Router, round: number): void {
-    const rounds = Math.ceil(REPORT_MS / Core.ROUND_MS);
-    for (let target = round % rounds; target < TARGETS_A_ZONE; target += rounds) {
+    const rounds = Math.ceil(REPORT_INTERVAL_MS / Core.ROUND_MS);
+    for (let target = round % rounds; target < TARGETS_PER_ZONE; target += rounds) {
       const name = `engine-z${router.zone}-${target}`;
       router.state.targets.recordReport(
         { target: name, state: 'healthy', running: 90, waiting: 1 },
@@ -149,7 +152,7 @@
 function measureSize(size: number): MembershipSlopeRow {
   const heapBefore = measureHeap();
   const fleet = createFleet(size);
-  fleet.runMs(SETTLE_MS);
+  fleet.runMs(WARM_UP_MS);
   const bytesBefore = fleet.getBytes();
   const cpuBefore = process.cpuUsage();
   fleet.runMs(WINDOW_MS);
@@ -166,7 +169,7 @@
   };
 }
 
-/** A row a size; a fleet of 570 routers takes a minute or two. */
+/** Measures one row for each size; a fleet of 570 routers takes one or two minutes. */
 export function measureMembershipSlopes(
   sizes: readonly number[] = DEFAULT_SIZES,
 ): readonly MembershipSlopeRow[] {
--- a/bench/src/output.ts
+++ b/bench/src/output.ts
@@ -1,4 +1,4 @@
-/** Prints the result of a measurement, as JSON or as a table for people. */
+/** Prints the result of a measurement as JSON or as tables. */
 
 export type Result = Readonly<Record<string, unknown>>;
 
@@ -15,7 +15,7 @@
   }
 }
 
-/** Runs a measurement; a failure is printed and sets the exit code. */
+/** Runs a measurement and prints its result; prints a failure and sets the exit code. */
 export function runBench(measure: () => Promise<Result>): void {
   measure()
     .then(printResult)
--- a/bench/src/passThrough.ts
+++ b/bench/src/passThrough.ts
@@ -1,4 +1,4 @@
-/** Baseline of bench:relay: a bare node:http server that pipes to one engine through undici. */
+/** Baseline of bench:relay: a plain node:http server that forwards requests to one engine with undici. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
--- a/bench/src/relay.ts
+++ b/bench/src/relay.ts
@@ -1,7 +1,7 @@
 /**
- * What relaying costs: processor time of the router for each token at many open streams, beside a
- * bare pass-through over the same engine. Both run in turn within one run, so that their ratio
- * does not depend on the machine's mood.
+ * Measures the cost of relaying: the router's processor time for each token at many open streams,
+ * compared with a plain pass-through server at the same engine. Both are measured in turn within one
+ * run, so that the load and speed of the machine affect both alike.
  */
 import path from 'node:path';
 import { setTimeout as startTimeout } from 'node:timers/promises';
@@ -20,7 +20,7 @@
 const START_INTERVAL_MS = 10;
 const MICROS_PER_MS = 1_000;
 
-interface Load {
+interface LoadUsage {
   readonly tokens: number;
   readonly cpuMs: number;
   readonly elapsedMs: number;
@@ -31,13 +31,13 @@
   daemon: Daemon,
   apiKey: string,
   maxTokens: number,
-): Promise<Load> {
+): Promise<LoadUsage> {
   const dispatcher = new Undici.Agent({ connections: STREAMS, bodyTimeout: 0 });
   const cpuBeforeMs = daemon.getCpuMs();
   const startedMs = performance.now();
   const answers = await Promise.all(
     Array.from({ length: STREAMS }, async (_unused, index) => {
-      // All at once would measure what admission does with a burst; see bench:decisions for that.
+      // Starting all streams at once would measure admission during a burst; bench:decisions does that.
       await startTimeout(index * START_INTERVAL_MS);
       return Testing.readAnswer({ url, apiKey, prompt: `Stream ${index}`, maxTokens, dispatcher });
     }),
@@ -48,13 +48,13 @@
   const tokens = answers.reduce((sum, answer) => sum + (answer.completionTokens ?? 0), 0);
   if (tokens !== STREAMS * maxTokens) {
     const failed = answers.find((answer) => answer.completionTokens !== maxTokens);
-    throw new Error(`an answer is not whole: ${JSON.stringify(failed)}`);
+    throw new Error(`an answer is incomplete: ${JSON.stringify(failed)}`);
   }
   return { tokens, cpuMs, elapsedMs };
 }
 
-function mergeLoads(loads: readonly Load[]): Load {
-  const sum = (pick: (load: Load) => number) =>
+function mergeLoads(loads: readonly LoadUsage[]): LoadUsage {
+  const sum = (pick: (load: LoadUsage) => number) =>
     loads.reduce((total, load) => total + pick(load), 0);
   return {
     tokens: sum((load) => load.tokens),
@@ -63,7 +63,7 @@
   };
 }
 
-function computeCpuMicros({ cpuMs, tokens }: Load): number {
+function computeCpuMicros({ cpuMs, tokens }: LoadUsage): number {
   return (cpuMs * MICROS_PER_MS) / tokens;
 }
 
@@ -82,23 +82,23 @@
   try {
     await runLoad(router!.callers, router!.daemon, fleet.apiKey, WARM_UP_TOKENS);
     await runLoad(baselineUrl, baseline, fleet.apiKey, WARM_UP_TOKENS);
-    const routed: Load[] = [];
-    const passed: Load[] = [];
+    const routerLoads: LoadUsage[] = [];
+    const baselineLoads: LoadUsage[] = [];
     for (let round = 0; round < ROUNDS; round += 1) {
-      routed.push(await runLoad(router!.callers, router!.daemon, fleet.apiKey, TOKENS));
-      passed.push(await runLoad(baselineUrl, baseline, fleet.apiKey, TOKENS));
+      routerLoads.push(await runLoad(router!.callers, router!.daemon, fleet.apiKey, TOKENS));
+      baselineLoads.push(await runLoad(baselineUrl, baseline, fleet.apiKey, TOKENS));
     }
-    const ours = mergeLoads(routed);
-    const bare = mergeLoads(passed);
+    const routerLoad = mergeLoads(routerLoads);
+    const baselineLoad = mergeLoads(baselineLoads);
     return {
       streams: STREAMS,
-      tokens: ours.tokens,
-      tokensPerSecond: Math.round((ours.tokens * 1_000) / ours.elapsedMs),
-      cpuMicrosPerToken: Outputs.computeRounded(computeCpuMicros(ours)),
-      baselineCpuMicrosPerToken: Outputs.computeRounded(computeCpuMicros(bare)),
-      ratio: Outputs.computeRounded(computeCpuMicros(ours) / computeCpuMicros(bare)),
-      ratioByRound: routed.map((load, round) =>
-        Outputs.computeRounded(computeCpuMicros(load) / computeCpuMicros(passed[round]!)),
+      tokens: routerLoad.tokens,
+      tokensPerSecond: Math.round((routerLoad.tokens * 1_000) / routerLoad.elapsedMs),
+      cpuMicrosPerToken: Outputs.computeRounded(computeCpuMicros(routerLoad)),
+      baselineCpuMicrosPerToken: Outputs.computeRounded(computeCpuMicros(baselineLoad)),
+      ratio: Outputs.computeRounded(computeCpuMicros(routerLoad) / computeCpuMicros(baselineLoad)),
+      ratioByRound: routerLoads.map((load, round) =>
+        Outputs.computeRounded(computeCpuMicros(load) / computeCpuMicros(baselineLoads[round]!)),
       ),
     };
   } finally {
--- a/bench/src/resume.ts
+++ b/bench/src/resume.ts
@@ -1,6 +1,6 @@
 /**
- * How long a caller's stream stands still after its engine is killed, what is lost or repeated,
- * and what is computed again. Real processes, killed with SIGKILL.
+ * Measures how long a caller's stream pauses after its engine is killed, which tokens are lost or
+ * repeated, and how many are recomputed. Uses real processes and SIGKILL.
  */
 import * as Testing from '@sequoiarill/testing';
 import * as PureRand from 'pure-rand/generator/xoroshiro128plus';
--- a/bench/src/resume/engineKills.ts
+++ b/bench/src/resume/engineKills.ts
@@ -1,4 +1,4 @@
-/** Kills real engine processes under running streams, again and again. */
+/** Repeatedly kills engine processes while streams run on them. */
 import type { Fleet } from '@sequoiarill/testing';
 import * as Testing from '@sequoiarill/testing';
 
@@ -9,7 +9,7 @@
   readonly kills: number;
   readonly streams: number;
   readonly maxTokens: number;
-  /** Pieces that the first stream has before the kill: least and most. */
+  /** Least and greatest number of pieces that the first stream has received before the kill. */
   readonly killAfter: readonly [number, number];
   readonly nextRandom: () => number;
 }
@@ -26,21 +26,21 @@
 }
 
 const POLL_MS = 2;
-/** The journal rounds to whole milliseconds. */
+/** The decision journal rounds times to whole milliseconds. */
 const ROUNDING_MS = 1;
 
 export async function runKills(fleet: Fleet, options: KillOptions): Promise<KillResult> {
   const prompts = Array.from({ length: options.streams }, (_unused, index) => `Order ${index}`);
-  const calm = await runRound(fleet, prompts, options.maxTokens);
-  const expected = new Map(calm.map((run) => [run.prompt, run.pieces]));
+  const undisturbed = await runRound(fleet, prompts, options.maxTokens);
+  const expected = new Map(undisturbed.map((run) => [run.prompt, run.pieces]));
   const total = createTotal();
   for (let kill = 0; kill < options.kills; kill += 1) {
     const open = prompts.map((prompt) => Streams.startStream(fleet, prompt, options.maxTokens));
-    const hit = await failEngine(fleet, open, options);
+    const engineKill = await failEngine(fleet, open, options);
     const runs = await Promise.all(open.map(({ done }) => done));
     for (const run of runs) total.addRun(run, expected.get(run.prompt)!);
-    await total.addHits(fleet, runs, hit);
-    await fleet.startEngine(hit.engine);
+    await total.addRecoveries(fleet, runs, engineKill);
+    await fleet.startEngine(engineKill.engine);
   }
   return total.getResult(options.kills);
 }
@@ -53,20 +53,20 @@
   return Promise.all(prompts.map((prompt) => Streams.startStream(fleet, prompt, maxTokens).done));
 }
 
-interface Hit {
+interface EngineKill {
   readonly engine: number;
   readonly killedMs: number;
   readonly requestIds: ReadonlySet<string>;
 }
 
-/** Waits until the first stream is far enough, then kills the engine under it. */
+/** Waits until the first stream has received enough pieces, then kills its engine. */
 async function failEngine(
   fleet: Fleet,
   open: readonly OpenStream[],
   options: KillOptions,
-): Promise<Hit> {
-  const [least, most] = options.killAfter;
-  const killAt = least + Math.floor(options.nextRandom() * (most - least));
+): Promise<EngineKill> {
+  const [min, max] = options.killAfter;
+  const killAt = min + Math.floor(options.nextRandom() * (max - min));
   const requestIds = await Promise.all(open.map(({ requestId }) => requestId));
   while (open[0]!.countPieces() < killAt) {
     await new Promise((resolve) => {
@@ -78,8 +78,8 @@
   const engine = engines[0]!;
   const killedMs = performance.now();
   fleet.engines[engine]!.send('SIGKILL');
-  const hit = requestIds.filter((_id, index) => engines[index] === engine);
-  return { engine, killedMs, requestIds: new Set(hit) };
+  const affectedIds = requestIds.filter((_id, index) => engines[index] === engine);
+  return { engine, killedMs, requestIds: new Set(affectedIds) };
 }
 
 function createTotal() {
@@ -91,16 +91,20 @@
   let tokensRecomputed = 0;
   return {
     addRun(run: StreamRun, expected: readonly string[]): void {
-      const faults = Streams.compareTexts(expected, run.pieces);
-      tokensMissing += faults.missing;
-      tokensRepeated += faults.repeated;
+      const differences = Streams.compareTexts(expected, run.pieces);
+      tokensMissing += differences.missing;
+      tokensRepeated += differences.repeated;
       tokensDelivered += run.completionTokens;
       if (run.error !== undefined) errors.push(run.error);
     },
-    async addHits(fleet: Fleet, runs: readonly StreamRun[], hit: Hit): Promise<void> {
-      for (const run of runs.filter(({ requestId }) => hit.requestIds.has(requestId))) {
+    async addRecoveries(
+      fleet: Fleet,
+      runs: readonly StreamRun[],
+      engineKill: EngineKill,
+    ): Promise<void> {
+      for (const run of runs.filter(({ requestId }) => engineKill.requestIds.has(requestId))) {
         const recovery = await Streams.readRecovery(fleet.routers[0]!, run.requestId);
-        const resumeMs = computeResume(run, recovery, hit.killedMs);
+        const resumeMs = computeResume(run, recovery, engineKill.killedMs);
         if (resumeMs !== undefined) resumesMs.push(resumeMs);
         tokensRecomputed += recovery.tokensRecomputed;
       }
@@ -119,9 +123,10 @@
 }
 
 /**
- * Milliseconds from the kill to the first piece of the next engine, as the caller sees it. The
- * router's journal tells when that piece left the engine; the caller's clock starts before the
- * router's, so the first piece that arrives after that time is it.
+ * Computes the milliseconds from the kill to the arrival of the next engine's first piece at the
+ * caller. The router's journal gives the time at which that piece came from the engine. The caller's
+ * clock for the request starts earlier than the router's, so the piece is the first one that arrives
+ * after that time.
  */
 function computeResume(run: StreamRun, recovery: Recovery, killedMs: number): number | undefined {
   if (recovery.continuedAtMs === undefined) return undefined;
--- a/bench/src/resume/streams.ts
+++ b/bench/src/resume/streams.ts
@@ -1,13 +1,16 @@
-/** Streams that a fault hits: their texts against undisturbed ones, and how long they stood still. */
+/**
+ * Reads streams during a fault, compares their texts with undisturbed ones, and reads how they were
+ * continued.
+ */
 import type { Fleet, FleetRouter } from '@sequoiarill/testing';
 import * as Testing from '@sequoiarill/testing';
 
 export interface StreamRun {
   readonly prompt: string;
   readonly pieces: readonly string[];
-  /** When the request was sent, on the monotonic clock of this process. */
+  /** Time at which the request was sent, on this process's monotonic clock. */
   readonly startedMs: number;
-  /** On the same clock, one for each piece. */
+  /** Arrival time of each piece, on the same clock. */
   readonly arrivedMs: readonly number[];
   readonly requestId: string;
   readonly completionTokens: number;
@@ -15,7 +18,7 @@
 }
 
 export interface OpenStream {
-  /** The request's id, once the first piece has arrived. */
+  /** Resolves with the request's id when the first piece has arrived. */
   readonly requestId: Promise<string>;
   readonly done: Promise<StreamRun>;
   readonly countPieces: () => number;
@@ -26,9 +29,9 @@
   const startedMs = performance.now();
   const pieces: string[] = [];
   const arrivedMs: number[] = [];
-  let tellId: (id: string) => void = () => undefined;
+  let resolveId: (id: string) => void = () => undefined;
   const requestId = new Promise<string>((resolve) => {
-    tellId = resolve;
+    resolveId = resolve;
   });
   const answer = Testing.readAnswer({
     url: router.callers,
@@ -38,50 +41,57 @@
     onText(text, _count, id) {
       pieces.push(text);
       arrivedMs.push(performance.now());
-      tellId(id);
+      resolveId(id);
     },
   });
-  const done = answer.then((whole) => ({
+  const done = answer.then((answered) => ({
     prompt,
     startedMs,
     pieces,
     arrivedMs,
-    requestId: whole.requestId ?? '',
-    completionTokens: whole.completionTokens ?? 0,
-    error: whole.error,
+    requestId: answered.requestId ?? '',
+    completionTokens: answered.completionTokens ?? 0,
+    error: answered.error,
   }));
   return { requestId, done, countPieces: () => pieces.length };
 }
 
 export interface Recovery {
-  /** When the next token came from another engine, in milliseconds from the start of the request. */
+  /** Time of the first token from the next engine, in milliseconds from the start of the request. */
   readonly continuedAtMs: number | undefined;
-  /** Prompt and output tokens that engines were given again. */
+  /** Prompt and output tokens that were sent to further engines. */
   readonly tokensRecomputed: number;
 }
 
 export async function readRecovery(router: FleetRouter, requestId: string): Promise<Recovery> {
   const entries = await Testing.readJournal(router, requestId);
-  const again = entries.filter(({ kind }) => kind === 'dispatched').slice(1);
+  const redispatches = entries.filter(({ kind }) => kind === 'dispatched').slice(1);
   return {
     continuedAtMs: entries.find(({ kind }) => kind === 'continued')?.elapsedMs,
-    tokensRecomputed: again.reduce((sum, { details }) => sum + (details.tokensGiven ?? 0), 0),
+    tokensRecomputed: redispatches.reduce(
+      (sum, { details }) => sum + (details.tokensGiven ?? 0),
+      0,
+    ),
   };
 }
 
-export interface TextFaults {
+export interface TextDifferences {
   readonly missing: number;
   readonly repeated: number;
 }
 
-/** Pieces that the disturbed answer lacks or has too often, against the undisturbed one. */
-export function compareTexts(expected: readonly string[], actual: readonly string[]): TextFaults {
+/** Counts the pieces that are missing or repeated in the disturbed answer. */
+export function compareTexts(
+  expected: readonly string[],
+  actual: readonly string[],
+): TextDifferences {
   if (expected.join('') === actual.join('')) return { missing: 0, repeated: 0 };
-  let same = 0;
-  while (same < expected.length && expected[same] === actual[same]) same += 1;
+  let matched = 0;
+  while (matched < expected.length && expected[matched] === actual[matched]) matched += 1;
   const missing = Math.max(0, expected.length - actual.length);
   const repeated = Math.max(0, actual.length - expected.length);
-  // Of equal length and yet different: everything after the first difference is wrong twice over.
+  // Same length but different text: all pieces after the first difference count as missing and as
+  // repeated.
   if (missing + repeated > 0) return { missing, repeated };
-  return { missing: expected.length - same, repeated: actual.length - same };
+  return { missing: expected.length - matched, repeated: actual.length - matched };
 }
--- a/bench/src/slopes.ts
+++ b/bench/src/slopes.ts
@@ -1,4 +1,4 @@
-/** Measures again every slope that docs/CAPACITY.md works with: sizes, fit and spread. */
+/** Measures all slopes used in docs/CAPACITY.md, with their sizes, fit and spread. */
 import * as ConfigurationSlopes from './configurationSlopes';
 import * as DecisionSlopes from './decisionSlopes';
 import * as MembershipSlopes from './membershipSlopes';
@@ -7,14 +7,17 @@
 import type { Point } from './slopes/fit';
 import * as RelaySlopes from './slopes/relaySlopes';
 
-/** Time between two tokens of a stream while their processor time is measured. */
+/** Time between two tokens of a stream during the measurement of processor time. */
 const STEP_MS = 30;
-/** Routers of a region; a whole fleet takes minutes and exchanges no more with each router. */
+/**
+ * Routers of a region. A whole fleet takes minutes to measure, and each router has no more exchanges
+ * in it.
+ */
 const MEMBERSHIP_SIZES = [8, 16, 32, 96] as const;
 
 interface SlopeRow {
   readonly role: string;
-  /** What the slope is of, and per what. */
+  /** The measured quantity and the unit of the size. */
   readonly unit: string;
   readonly sizes: string;
   readonly slope: number;
@@ -64,9 +67,9 @@
   const rows = DecisionSlopes.measureDecisionSlopes();
   const roles = [...new Set(rows.map(({ role }) => role))];
   return roles.flatMap((role) => {
-    const own = rows.filter((row) => row.role === role);
-    const cpu = own.map((row) => ({ size: row.size, value: row.cpuMicros }));
-    const memory = own.map((row) => ({ size: row.size, value: row.memoryBytes }));
+    const roleRows = rows.filter((row) => row.role === role);
+    const cpu = roleRows.map((row) => ({ size: row.size, value: row.cpuMicros }));
+    const memory = roleRows.map((row) => ({ size: row.size, value: row.memoryBytes }));
     return [
       createRow(`decisions: ${role}`, 'cpu microseconds, per size', cpu),
       createRow(`decisions: ${role}`, 'bytes held, per size', memory),
--- a/bench/src/slopes/fit.ts
+++ b/bench/src/slopes/fit.ts
@@ -1,4 +1,4 @@
-/** Straight lines through measured points, with their spread. */
+/** Linear fits through measured points, with their spread. */
 
 export interface Point {
   readonly size: number;
@@ -8,7 +8,7 @@
 export interface Fit {
   readonly slope: number;
   readonly intercept: number;
-  /** Share of the variance that the line explains, 0 to 1. */
+  /** Coefficient of determination: the share of the variance that the line explains. */
   readonly r2: number;
   /** Largest distance of a point from the line, as a share of the largest value. */
   readonly spread: number;
@@ -18,7 +18,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Least squares. */
+/** Fits a line by least squares. */
 export function computeFit(points: readonly Point[]): Fit {
   const meanSize = computeMean(points.map(({ size }) => size));
   const meanValue = computeMean(points.map(({ value }) => value));
--- a/bench/src/slopes/relaySlopes.ts
+++ b/bench/src/slopes/relaySlopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of a router process: memory of a stream, processor time of a token and of a request. */
+/** Measures slopes of a router process: memory per stream, processor time per token and per request. */
 import type { Fleet } from '@sequoiarill/testing';
 import * as Testing from '@sequoiarill/testing';
 import * as Undici from 'undici';
@@ -9,7 +9,7 @@
 const STREAM_COUNTS = [0, 250, 500, 1_000, 1_500] as const;
 const TOKEN_STREAMS = [60, 120, 240, 480] as const;
 const REQUEST_RATES = [25, 50, 100, 200] as const;
-const SETTLE_MS = 3_000;
+const WARM_UP_MS = 3_000;
 const WINDOW_MS = 4_000;
 const MANY_TOKENS = 100_000;
 
@@ -24,7 +24,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** Streams that go on until they are closed. */
+/** Opens streams that continue until they are closed. */
 function openStreams(fleet: Fleet): OpenStreams {
   const dispatcher = new Undici.Agent({ connections: null, bodyTimeout: 0 });
   const reads: Promise<unknown>[] = [];
@@ -58,7 +58,7 @@
   });
 }
 
-/** Resident bytes of a router against its open streams. */
+/** Measures the resident memory of a router by its number of open streams. */
 export async function measureStreamMemory(): Promise<readonly Point[]> {
   const fleet = await startFleet(500);
   const router = fleet.routers[0]!.daemon;
@@ -68,7 +68,7 @@
   for (const size of STREAM_COUNTS) {
     streams.addStreams(size - opened);
     opened = size;
-    await waitMs(SETTLE_MS);
+    await waitMs(WARM_UP_MS);
     points.push({ size, value: router.getMemoryBytes() });
   }
   await streams.close();
@@ -76,7 +76,7 @@
   return points;
 }
 
-/** Processor milliseconds a second of a router against the tokens it relays in a second. */
+/** Measures a router's processor time per second by the number of tokens it relays per second. */
 export async function measureTokenCpu(stepMs: number): Promise<readonly Point[]> {
   const fleet = await startFleet(stepMs);
   const router = fleet.routers[0]!.daemon;
@@ -86,7 +86,7 @@
   for (const size of TOKEN_STREAMS) {
     streams.addStreams(size - opened);
     opened = size;
-    await waitMs(SETTLE_MS);
+    await waitMs(WARM_UP_MS);
     const cpuBeforeMs = router.getCpuMs();
     const startedMs = performance.now();
     await waitMs(WINDOW_MS);
@@ -99,7 +99,7 @@
   return points;
 }
 
-/** Processor milliseconds a second of a router against requests of one token in a second. */
+/** Measures a router's processor time per second by the number of requests of one token per second. */
 export async function measureRequestCpu(): Promise<readonly Point[]> {
   const fleet = await startFleet(5);
   const router = fleet.routers[0]!;
--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -1,4 +1,7 @@
-/** Simulates callers that send streams, orders and reads over keep-alive connections, and configuration probes. */
+/**
+ * Simulates callers that send streams, orders and reads over keep-alive connections, and sends probes of
+ * the configuration.
+ */
 import * as Standins from '@sequoiarill/standins';
 import * as Undici from 'undici';
 
--- a/soak/src/configuration.ts
+++ b/soak/src/configuration.ts
@@ -1,4 +1,7 @@
-/** Creates configurations in which each version has a route and an API key of its own, so that probes can tell which is in force. */
+/**
+ * Creates configurations in which each version has a route and an API key of its own, so that probes can
+ * tell which version is in force.
+ */
 import * as Standins from '@sequoiarill/standins';
 
 /** API key that is valid in every version. */
