--- /dev/null
+++ b/soak/src/requestLog.ts
@@ -0,0 +1,91 @@
+/**
+ * Records requests, their results as the callers saw them, and changes by operators. All times come from
+ * the same clock, in milliseconds.
+ */
+
+export type RequestKind = 'stream' | 'order' | 'read';
+
+export interface SentRequest {
+  readonly id: string;
+  readonly kind: RequestKind;
+  readonly router: number;
+  readonly body: string;
+  /** First event requested: 1, or a later one where the caller resumes a broken stream. */
+  readonly fromEvent: number;
+}
+
+export type CallerResult =
+  /** `text` is what arrived, complete or not. */
+  | {
+      readonly kind: 'answer';
+      readonly status: number;
+      readonly text: string;
+      /** Whether the body arrived up to the end given by its framing. */
+      readonly isComplete: boolean;
+      /** Whether the headers carry the signature of a target. */
+      readonly isSigned: boolean;
+    }
+  /** No response arrived. */
+  | { readonly kind: 'noAnswer' };
+
+/** A request that tests whether a configuration version is in force at a router. */
+export interface Probe {
+  readonly router: number;
+  /** Incarnation of the router's process, counted from 1. */
+  readonly incarnation: number;
+  readonly atMs: number;
+  readonly version: number;
+  /** Time at which the store acknowledged the write of that version. */
+  readonly writtenAtMs: number;
+  /** Whether the version was the newest one until the end of the probe. */
+  readonly isNewest: boolean;
+  readonly status: number;
+}
+
+export interface Leaving {
+  readonly target: string;
+  readonly writtenAtMs: number;
+}
+
+/** A period in which a fault affected a router or its connection to the store. */
+export interface Disturbance {
+  readonly router: number;
+  readonly fromMs: number;
+  untilMs: number;
+}
+
+export interface RequestLog {
+  readonly requests: Map<string, SentRequest>;
+  readonly results: Map<string, CallerResult>;
+  readonly probes: Probe[];
+  readonly leavings: Leaving[];
+  readonly disturbances: Disturbance[];
+}
+
+export function createRequestLog(): RequestLog {
+  return {
+    requests: new Map(),
+    results: new Map(),
+    probes: [],
+    leavings: [],
+    disturbances: [],
+  };
+}
+
+/** Time that a router has to recover after a fault before the time limits apply to it again. */
+const RECOVERY_MS = 4_000;
+
+/**
+ * Computes since when the time limits apply at the given time, to one router or to all of them. Infinite
+ * while a fault lasts.
+ */
+export function computeUndisturbedSince(
+  { disturbances }: RequestLog,
+  atMs: number,
+  router?: number,
+): number {
+  const ends = disturbances
+    .filter((one) => one.fromMs <= atMs && (router === undefined || one.router === router))
+    .map((one) => one.untilMs + RECOVERY_MS);
+  return Math.max(Number.NEGATIVE_INFINITY, ...ends);
+}
